--- a/Makefile
+++ b/Makefile
@@ -14,11 +14,11 @@
 
 lint: dev
 	$(PYTHON) -m ruff check .
-	$(PYTHON) -m ruff format --check vetchusher/kinds.py vetchusher/events.py vetchusher/policy vetchusher/waggle vetchusher/comb vetchusher/scouts vetchusher/foragers vetchusher/entrance vetchusher/hive vetchusher/net vetchusher/limits vetchusher/membership vetchusher/fleet vetchusher/tier vetchusher/duties vetchusher/emulator vetchusher/settings benchmarks tests/net_helpers.py tests/test_sockets.py tests/test_net.py tests/test_service.py tests/test_marks.py tests/test_membership.py tests/test_subset.py tests/test_console.py tests/test_upgrade.py tests/test_pieces.py tests/test_streamed.py tests/test_deployments.py tests/test_duties.py tests/test_duties_processes.py tests/test_members.py tests/test_members_processes.py tests/test_waggle.py tests/test_orders.py tests/test_system_settings.py tests/test_foragers.py tests/test_front.py tests/test_apiary.py tests/test_core_processes.py tests/test_store.py tests/test_repair.py tests/test_hive_world.py tests/test_control_days.py tests/test_comb_explorer.py
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m mypy
 
 run: build
-	$(PYTHON) -m vetchusher.emulator.apiary
+	$(PYTHON) -m vetchusher.emulator.system.local
 
 run-daemon: build
 	$(PYTHON) -m vetchusher serve
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -21,10 +21,10 @@
 import orjson
 from more_itertools import chunked
 
-from vetchusher.emulator.comb_cases import CASES
-from vetchusher.emulator.comb_faults import PLANTED, planted
-from vetchusher.emulator.comb_search import Trouble, drawn
-from vetchusher.emulator.comb_stories import Story
+from vetchusher.emulator.control.cases import CASES
+from vetchusher.emulator.control.mutations import PLANTED, planted
+from vetchusher.emulator.control.scenarios import Story
+from vetchusher.emulator.control.search import Trouble, drawn
 from vetchusher.emulator.explorer import explore as explored
 from vetchusher.emulator.explorer import wander
 
@@ -265,7 +265,7 @@
 def by_stories(tries: int) -> tuple[str, int]:
     total = 0
     for seed in range(1, tries + 1):
-        for name, (text, scene) in importlib.import_module("tests.test_comb").STORIES.items():
+        for name, (text, scene) in importlib.import_module("tests.test_control").STORIES.items():
             story = Story(text, replace(scene, seed=seed))
             wrong = story.run()
             total += story.world.played
--- a/benchmarks/control_days.py
+++ b/benchmarks/control_days.py
@@ -37,7 +37,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.table import keep_table
+from .table import keep_table
 
 Entry = dict[str, Any]
 PLAY_S = 900  # a day that takes longer is given up, and the table says so
--- a/benchmarks/core_campaign.py
+++ b/benchmarks/core_campaign.py
@@ -29,10 +29,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from benchmarks.table import keep_table
-from vetchusher.comb import Timing
-from vetchusher.emulator.core_faults import FAULTS
-from vetchusher.emulator.core_rig import PATIENCE_S, CoreRig, Found
+from vetchusher.control import Timing
+from vetchusher.emulator.control.process_faults import FAULTS
+from vetchusher.emulator.control.process_rig import PATIENCE_S, CoreRig, Found
+
+from .table import keep_table
 
 T = Timing()
 # Until the voters are free of the old lease; a candidate's pause; its questions, as the dead answer none.
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -35,13 +35,13 @@
 
 from docopt import docopt
 
-from vetchusher.emulator.audit import Findings
-from vetchusher.emulator.demand import SECOND
-from vetchusher.emulator.deployments import DEPLOYMENTS
 from vetchusher.emulator.faults import Fault, FaultKind, Script
 from vetchusher.emulator.network import Cut
+from vetchusher.emulator.quota.audit import Findings
+from vetchusher.emulator.quota.demand import SECOND
+from vetchusher.emulator.quota.deployments import DEPLOYMENTS
+from vetchusher.emulator.quota.virtual import Outage, Scene, World
 from vetchusher.emulator.rig import Rig
-from vetchusher.emulator.virtual import Outage, Scene, World
 
 BEGINS, ENDS = 20 * SECOND, 32 * SECOND
 SIDES = tuple(range(16))
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -36,13 +36,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
 
-from benchmarks.table import keep_table
-from vetchusher.emulator.duties_explorer import STARTS, explore, wander
-from vetchusher.emulator.duties_faults import PLANTED, planted
-from vetchusher.emulator.duties_rig import FAULTS, Outcome, Tier
-from vetchusher.emulator.duties_world import Found, Scene, World
+from vetchusher.emulator.duties.explorer import STARTS, explore, wander
+from vetchusher.emulator.duties.mutations import PLANTED, planted
+from vetchusher.emulator.duties.rig import FAULTS, Outcome, Tier
+from vetchusher.emulator.duties.world import Found, Scene, World
 from vetchusher.emulator.explorer import Explored
-from vetchusher.emulator.tier_world import SECOND
+from vetchusher.emulator.fleet_world import SECOND
+
+from .table import keep_table
 
 
 def part(values: list[float], share: float) -> float:
--- a/benchmarks/loop_stalls.py
+++ b/benchmarks/loop_stalls.py
@@ -32,7 +32,7 @@
 import uvloop
 from docopt import docopt
 
-from vetchusher.emulator.apiary import Apiary, Machine, first_configuration
+from vetchusher.emulator.system.local import Apiary, Machine, first_configuration
 
 WAKE_S = 0.001
 LEAST_S = 0.002  # shorter gaps are not noted
@@ -65,8 +65,8 @@
 
 def watched(settings: str, gaps: str) -> int:
     gc.disable()  # as a start of the program does
-    from vetchusher.hive.log import start_logging
-    from vetchusher.hive.process import Process
+    from vetchusher.node.log import start_logging
+    from vetchusher.node.process import Process
     from vetchusher.settings.compiled import form
     from vetchusher.settings.node import read_node
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -34,13 +34,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from benchmarks.duties import cpu_of, part
-from benchmarks.table import keep_table
-from vetchusher.emulator.members_checks import CHECKS
-from vetchusher.emulator.members_faults import PLANTED, planted
-from vetchusher.emulator.members_rig import MEMBER_FAULTS, MembersTier, times
-from vetchusher.emulator.members_world import Found, Scene, World
-from vetchusher.emulator.tier_world import SECOND
+from vetchusher.emulator.fleet_world import SECOND
+from vetchusher.emulator.membership.checks import CHECKS
+from vetchusher.emulator.membership.mutations import PLANTED, planted
+from vetchusher.emulator.membership.rig import MEMBER_FAULTS, MembersTier, times
+from vetchusher.emulator.membership.world import Found, Scene, World
+
+from .duties import cpu_of, part
+from .table import keep_table
 
 WAYS = ("ours", "swim", "heartbeats")
 
--- a/benchmarks/quota_days.py
+++ b/benchmarks/quota_days.py
@@ -21,8 +21,8 @@
 
 import fire  # type: ignore[import-untyped]
 
-from benchmarks.control_days import Deck, Entry, Job, days_table, played, written
-from benchmarks.totals import told
+from .control_days import Deck, Entry, Job, days_table, played, written
+from .totals import told
 
 CUTS: tuple[Entry, ...] = (
     {"kind": "node_cut", "share": 0.17},
--- a/benchmarks/totals.py
+++ b/benchmarks/totals.py
@@ -20,11 +20,11 @@
 
 import fire  # type: ignore[import-untyped]
 
-from vetchusher.emulator.quota_faults import PLANTED
-from vetchusher.emulator.quota_judge import SECOND, Demand
-from vetchusher.emulator.quota_scenes import LIGHT, drawn, drawn_large
-from vetchusher.emulator.quota_ways import Central, EstimateAlone, GuardAlone, Split
-from vetchusher.emulator.quota_world import Found, Scene, Trouble, World
+from vetchusher.emulator.quota.judge import SECOND, Demand
+from vetchusher.emulator.quota.mutations import PLANTED
+from vetchusher.emulator.quota.scenes import LIGHT, drawn, drawn_large
+from vetchusher.emulator.quota.ways import Central, EstimateAlone, GuardAlone, Split
+from vetchusher.emulator.quota.world import Found, Scene, Trouble, World
 from vetchusher.limits import windows
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.totals import Holder
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -15,7 +15,7 @@
 import orjson
 import uvloop
 
-from vetchusher.emulator.messages import free_port, read_message
+from vetchusher.emulator.outside.messages import free_port, read_message
 from vetchusher.net import config
 from vetchusher.net.ingress import Ingress
 
--- a/tests/test_comb.py
+++ b/tests/test_control.py
@@ -7,11 +7,20 @@
 
 import testtools
 
-from vetchusher.comb import Heard, Kept, Member, Output, Replace, SetEvacuation, Tell, Timing
-from vetchusher.comb.backups import Backups, Fellows
-from vetchusher.comb.candidate import Candidate
-from vetchusher.comb.memory import Memory
-from vetchusher.comb.state import (
+from vetchusher.control import (
+    Output,
+    PersistentState,
+    Received,
+    Replace,
+    Replica,
+    Send,
+    SetEvacuation,
+    Timing,
+)
+from vetchusher.control.durable_state import DurableState
+from vetchusher.control.election import Candidate
+from vetchusher.control.progress import Peers, ProgressTracker
+from vetchusher.control.state import (
     changed,
     copies_needed,
     first_record,
@@ -20,12 +29,12 @@
     with_configuration,
     without_configuration,
 )
-from vetchusher.emulator.comb_faults import PLANTED, planted
-from vetchusher.emulator.comb_search import Trouble, drawn
-from vetchusher.emulator.comb_stories import Story
-from vetchusher.emulator.comb_world import Scene, World
-from vetchusher.emulator.tier_world import MS, SECOND
-from vetchusher.waggle.wire_pb2 import CombLetter, Drop, Granted, Renewed, Stamp, Write
+from vetchusher.distribution.wire_pb2 import ControlMessage, Drop, LeaseRenewalReply, Stamp, VoteReply, Write
+from vetchusher.emulator.control.mutations import PLANTED, planted
+from vetchusher.emulator.control.scenarios import Story
+from vetchusher.emulator.control.search import Trouble, drawn
+from vetchusher.emulator.control.world import Scene, World
+from vetchusher.emulator.fleet_world import MS, SECOND
 
 CALM = Scene(loss=0.0, late=0.0)
 FIVE = Scene(seeds=5, losses=2)
@@ -456,21 +465,21 @@
     def test_a_copy_comes_from_letters_to_this_life_only_and_goes_as_told(self) -> None:
         """A copy that was lost does not come back by a late letter; a late order drops no newer copy."""
         record = first_record("123")
-        kept = Kept(5, first_state(), "1", record, copy=False)
-        member = Member("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
+        kept = PersistentState(5, first_state(), "1", record, copy=False)
+        member = Replica("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
 
-        def hear(letter: CombLetter) -> list[Output]:
-            return member.handle(SECOND, Heard("1", "east", letter))
+        def hear(message: ControlMessage) -> list[Output]:
+            return member.handle(SECOND, Received("1", "east", message))
 
         def write(life: int, seq: int) -> list[Output]:
             state = changed(first_state(), (5, seq))
-            return hear(CombLetter(write=Write(epoch=5, state=state, life=life)))
+            return hear(ControlMessage(write=Write(epoch=5, state=state, life=life)))
 
         def drop(seq: int) -> list[Output]:
-            return hear(CombLetter(drop=Drop(epoch=5, stamp=Stamp(epoch=5, seq=seq))))
+            return hear(ControlMessage(drop=Drop(epoch=5, stamp=Stamp(epoch=5, seq=seq))))
 
         [refused] = write(member.life + 1, 7)
-        self.assertFalse(isinstance(refused, Tell) and refused.letter.written.accepted)
+        self.assertFalse(isinstance(refused, Send) and refused.message.written.accepted)
         for event, copy in (
             (lambda: write(member.life, 7), True),
             (lambda: drop(6), True),
@@ -480,11 +489,11 @@
             self.assertIs(copy, member.memory.copy)
 
     def test_what_was_told_to_drop_counts_under_a_later_stamp_only(self) -> None:
-        words = Backups(Timing(), Fellows("1"), 0)
+        words = ProgressTracker(Timing(), Peers("1"), 0)
         backup = words.member("3")
         backup.dropped = (5, 7)
         for seq, counts in ((7, False), (8, True)):
-            answer = Renewed(round=words.next_round(SECOND), accepted=True, copy=True)
+            answer = LeaseRenewalReply(round=words.next_round(SECOND), accepted=True, copy=True)
             answer.stamp.epoch, answer.stamp.seq = 5, seq
             words.renewed("3", answer)
             self.assertIs(counts, words.copy(SECOND, "3") == (5, seq))
@@ -494,7 +503,9 @@
         self.assertEqual([1, 2, 2, 3, 3, 3, 4], [copies_needed(members, 2) for members in range(1, 8)])
 
     def test_a_promise_counts_no_longer_than_any_answer(self) -> None:
-        memory = Memory(Timing(), Kept(0, first_state(), record=first_record("123")), on_disk=True)
+        memory = DurableState(
+            Timing(), PersistentState(0, first_state(), record=first_record("123")), on_disk=True
+        )
         asker = Candidate(Timing(), memory, "1", 0, now=0)
         asker.choose(0)
         asker.synced(0)
@@ -502,7 +513,7 @@
         for save in memory.work(0):
             memory.saved(0, save.token, True)
         self.assertEqual({"2", "3"}, {tell.to for tell in asker.synced(0)})
-        asker.heard("2", Granted(epoch=1, granted=True, promised=1, record=first_record("123"), copy=True))
+        asker.heard("2", VoteReply(epoch=1, granted=True, promised=1, record=first_record("123"), copy=True))
         self.assertTrue(asker.elected())
         self.assertTrue(asker.over(SECOND))
 
--- a/tests/test_comb_explorer.py
+++ b/tests/test_control_explorer.py
@@ -7,10 +7,10 @@
 
 import testtools
 
-from vetchusher.emulator.call_history import Read, Wrote, versions_wrong
-from vetchusher.emulator.comb_cases import CASES, calm, settled, step
-from vetchusher.emulator.comb_cells import clone, digest
-from vetchusher.emulator.comb_faults import planted
+from vetchusher.emulator.control.call_history import Read, Wrote, versions_wrong
+from vetchusher.emulator.control.cases import CASES, calm, settled, step
+from vetchusher.emulator.control.encoding_cases import clone, digest
+from vetchusher.emulator.control.mutations import planted
 from vetchusher.emulator.explorer import TIME, explore, wander
 
 STATES = 150  # of each case; benchmarks/control.py follows them further
--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -11,13 +11,13 @@
 from testtools import TestCase
 from testtools.matchers import Equals, MatchesRegex
 
-from vetchusher.emulator.apiary import claim_net
-from vetchusher.emulator.call_history import Ordered, Read, Seen, Wrote, versions_wrong, zones_wrong
-from vetchusher.emulator.core_faults import FAULTS
-from vetchusher.emulator.core_rig import CoreRig
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.emulator.control.call_history import Ordered, Read, Seen, Wrote, versions_wrong, zones_wrong
+from vetchusher.emulator.control.process_faults import FAULTS
+from vetchusher.emulator.control.process_rig import CoreRig
+from vetchusher.emulator.system.local import claim_net
 from vetchusher.emulator.wal import Commits
-from vetchusher.hive import paths
-from vetchusher.waggle import wire_pb2 as wire
+from vetchusher.node import paths
 
 
 def drawn(text):
@@ -116,10 +116,10 @@
                 asks.keep(set())
                 await heard.wait()
                 asks.keep(set())
-                kept = set(asks.fellows)
+                kept = set(asks.peers)
                 with mock.patch.object(paths, "USED_S", 0.0):
                     asks.keep(set())
-                return kept == {other.ip}, set(asks.fellows)
+                return kept == {other.ip}, set(asks.peers)
             finally:
                 await asks.close()
                 await other.close()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -9,9 +9,9 @@
 
 from vetchusher import interface as api
 from vetchusher import wire
-from vetchusher.emulator import deployments
 from vetchusher.emulator.faults import Fault, FaultKind, Script
-from vetchusher.emulator.virtual import Scene, World
+from vetchusher.emulator.quota import deployments
+from vetchusher.emulator.quota.virtual import Scene, World
 from vetchusher.interface import Outcome
 
 POST_PAID = replace(SETTINGS, post_paid=True, most_units=8.0)
--- a/tests/test_waggle.py
+++ b/tests/test_distribution.py
@@ -7,14 +7,14 @@
 
 from testtools import TestCase
 
-from vetchusher.entrance.naming import entrances_of, named
-from vetchusher.entrance.neighbours import Place, neighbours
-from vetchusher.entrance.presence import SERVING_US, Presence
-from vetchusher.scouts.reader import Listed, Reader, read_page, read_row
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.follower import BEAT_US, FRESH_US, TOUCH_US, Follower, SendBeat, SendPull
-from vetchusher.waggle.ledger import Ledger, message_of, sorted_out
-from vetchusher.waggle.shelf import Shelf, whole
+from vetchusher.directory.naming import entrances_of, named
+from vetchusher.directory.neighbours import Place, neighbours
+from vetchusher.directory.presence import SERVING_US, Presence
+from vetchusher.discovery.reader import Listed, Reader, read_page, read_row
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.snapshot import SnapshotStore, whole
+from vetchusher.distribution.source import Source, message_of, sorted_out
+from vetchusher.distribution.subscriber import BEAT_US, FRESH_US, TOUCH_US, SendBeat, SendPull, Subscriber
 
 S = 1_000_000
 
@@ -25,7 +25,7 @@
             rng = random.Random(seed)
             written: dict[tuple[int, int], dict[str, bytes]] = {(0, 0): {}}
             # The first two may author an epoch each; the second takes over from what it has pulled.
-            ledgers = [Ledger("scouts") for _ in range(5)]
+            ledgers = [Source("discovery") for _ in range(5)]
             author, stamp = ledgers[0], (1, 0)
             for step in range(120):
                 if step == 60:
@@ -42,22 +42,22 @@
                     self.assertEqual(written[one.stamp], one.values())
 
     def test_nobody_goes_back_to_an_older_stamp(self):
-        newer, older = Ledger("comb"), Ledger("comb")
+        newer, older = Source("control"), Source("control")
         newer.publish((2, 1), {"a": b"2"})
         older.publish((1, 9), {"a": b"1"})
         self.assertFalse(newer.take(older.since((0, 0))))
         self.assertEqual({"a": b"2"}, newer.values())
 
 
-def heard(seq: int, in_force: bool, primary: str = "a") -> wire.BeatHeard:
-    vector = [wire.SourceAt(source="comb", stamp=message_of((1, seq)))]
-    return wire.BeatHeard(vector=vector, members=["a", "b", "c"], primary=primary, in_force=in_force)
+def heard(seq: int, in_force: bool, primary: str = "a") -> wire.HeartbeatReply:
+    vector = [wire.SourceAt(source="control", stamp=message_of((1, seq)))]
+    return wire.HeartbeatReply(vector=vector, members=["a", "b", "c"], primary=primary, in_force=in_force)
 
 
 class Following(TestCase):
-    def follower(self) -> tuple[Follower, Ledger]:
-        comb = Ledger("comb")
-        return Follower(["a", "b"], {"comb": comb}), comb
+    def follower(self) -> tuple[Subscriber, Source]:
+        control = Source("control")
+        return Subscriber(["a", "b"], {"control": control}), control
 
     def test_it_is_fresh_only_while_a_machine_with_a_majority_behind_it_shows_nothing_newer(self):
         #  us      a (in force)   b (cut off, older)   the ingress
@@ -65,23 +65,23 @@
         #  0.5 s                  1.3 -------------->  fresh still: b has no majority
         #  1 s     1.6 ----------------------------->  not fresh until it has pulled
         #  after   (silent)                            not fresh
-        follower, comb = self.follower()
+        follower, control = self.follower()
         self.assertEqual([SendBeat("a", wants_news=True), SendBeat("b")], follower.tick(0))
         self.assertFalse(follower.fresh(0))
         (pull,) = follower.heard_beat(10, "a", 0, heard(5, True))
         self.assertIsInstance(pull, SendPull)
         self.assertEqual([], follower.heard_beat(11, "b", 0, heard(5, True)))  # one pull at a time
-        author = Ledger("comb")
+        author = Source("control")
         author.publish((1, 5), {"version": b"1"})
         changed, _ = follower.heard_news(pull.number, [sorted_out(author.since((0, 0)))])
-        self.assertEqual({"comb"}, changed)
+        self.assertEqual({"control"}, changed)
         self.assertTrue(follower.fresh(20))
         follower.heard_beat(S // 2, "b", S // 2, heard(3, False))
         self.assertTrue(follower.fresh(S // 2))
         self.assertEqual(1, len(follower.heard_beat(S, "a", S, heard(6, True))))
         self.assertFalse(follower.fresh(S))
         author.publish((1, 6), {"version": b"2"})
-        comb.take(author.since((1, 5)))
+        control.take(author.since((1, 5)))
         self.assertTrue(follower.fresh(S + FRESH_US))
         self.assertFalse(follower.fresh(S + FRESH_US + 1))
 
@@ -95,8 +95,8 @@
         self.assertEqual([SendBeat("b")], follower.tick(BEAT_US))
 
     def test_the_primary_is_asked_most(self):
-        follower, comb = self.follower()
-        comb.publish((1, 0), {})
+        follower, control = self.follower()
+        control.publish((1, 0), {})
         follower.tick(0)
         for ip in "ab":
             follower.heard_beat(0, ip, 0, heard(0, True, "c"))
@@ -155,10 +155,12 @@
         presence = Presence()
         places = {"e1": ("n", "n-a"), "e2": ("n", "n-b"), "e3": ("g", "g-a"), "e4": ("g", "g-b")}
         for node, (region, zone) in places.items():
-            beat = wire.Beat(node=node, region=region, zone=zone, front=node, standing=wire.READY)
-            presence.heard(0, beat)
+            heartbeat = wire.Heartbeat(node=node, region=region, zone=zone, front=node, standing=wire.READY)
+            presence.heard(0, heartbeat)
         self.assertEqual(["e2", "e1"], presence.name(S, "n", "n-b"))
-        presence.heard(S, wire.Beat(node="e1", region="n", zone="n-a", front="e1", standing=wire.LEAVING))
+        presence.heard(
+            S, wire.Heartbeat(node="e1", region="n", zone="n-a", front="e1", standing=wire.LEAVING)
+        )
         self.assertEqual(["e2", "e3", "e4"], presence.name(S, "n", "n-b"))
         self.assertEqual([], presence.name(SERVING_US + 1, "n", "n-b"))
         self.assertEqual(4, len(presence.may_serve()))  # cut off from here they may still have clients
@@ -169,10 +171,12 @@
         e1                    leaves
         e3                    (silent) ------- not counted
         """
-        presence, told = Presence(), Ledger("entrance")
+        presence, told = Presence(), Source("directory")
         for node in ("e1", "e2", "e3"):
-            beat = wire.Beat(node=node, region="n", zone="n-a", front=f"{node}:1", standing=wire.READY)
-            presence.heard(0, beat)
+            heartbeat = wire.Heartbeat(
+                node=node, region="n", zone="n-a", front=f"{node}:1", standing=wire.READY
+            )
+            presence.heard(0, heartbeat)
 
         def at_an_ingress(now, seq):
             told.publish((1, seq), presence.rows(now))
@@ -180,8 +184,10 @@
 
         self.assertEqual(["e1:1", "e2:1", "e3:1"], at_an_ingress(S, 1))
         for node, standing in (("e1", wire.LEAVING), ("e2", wire.READY)):
-            beat = wire.Beat(node=node, region="n", zone="n-a", front=f"{node}:1", standing=standing)
-            presence.heard(2 * S, beat)
+            heartbeat = wire.Heartbeat(
+                node=node, region="n", zone="n-a", front=f"{node}:1", standing=standing
+            )
+            presence.heard(2 * S, heartbeat)
         self.assertEqual(["e2:1", "e3:1"], at_an_ingress(2 * S, 2))
         self.assertEqual(["e2:1"], at_an_ingress(SERVING_US + 1, 3))
         self.assertEqual(3, len(told.rows))  # they still count among those that may have clients
@@ -189,7 +195,7 @@
         self.assertEqual([], entrances_of(old))
 
     def test_one_that_no_core_machine_answers_does_not_say_who_serves(self):
-        follower = Follower(["a"], {"comb": Ledger("comb")})
+        follower = Subscriber(["a"], {"control": Source("control")})
         self.assertFalse(follower.in_touch(0))
         follower.heard_beat(0, "a", 0, heard(1, False))
         self.assertTrue(follower.in_touch(TOUCH_US))
@@ -200,22 +206,37 @@
     def test_what_was_told_is_told_again_after_a_start_and_a_torn_file_is_begun_anew(self):
         folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, folder)
-        author = Ledger("comb")
+        author = Source("control")
         author.publish((3, 7), {"version": b'"r4"', "limits": b"{}"})
-        shelf = Shelf.open(folder).unwrap()
+        shelf = SnapshotStore.open(folder).unwrap()
         shelf.save(whole(author)).unwrap()
         shelf.close()
-        again = Ledger("comb")
-        opened = Shelf.open(folder).unwrap()
-        self.assertEqual(["comb"], opened.load({"comb": again, "scouts": Ledger("scouts")}).unwrap())
+        again = Source("control")
+        opened = SnapshotStore.open(folder).unwrap()
+        self.assertEqual(
+            ["control"], opened.load({"control": again, "discovery": Source("discovery")}).unwrap()
+        )
         self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
         # A row that was changed behind our back is not taken, a file that is none is put aside.
         opened.base.execute("UPDATE told SET news = X'00'")
         opened.base.commit()
-        self.assertEqual([], opened.load({"comb": Ledger("comb")}).unwrap())
+        self.assertEqual([], opened.load({"control": Source("control")}).unwrap())
         opened.close()
         pathlib.Path(folder, "told.sqlite3").write_bytes(b"torn" * 4096)
-        self.assertEqual([], Shelf.open(folder).unwrap().load({"comb": Ledger("comb")}).unwrap())
+        self.assertEqual(
+            [], SnapshotStore.open(folder).unwrap().load({"control": Source("control")}).unwrap()
+        )
+
+    def test_a_file_of_an_earlier_release_is_read_under_the_names_of_today(self):
+        folder = tempfile.mkdtemp()
+        self.addCleanup(shutil.rmtree, folder)
+        author = Source("comb")
+        author.publish((3, 7), {"version": b'"r4"'})
+        store = SnapshotStore.open(folder).unwrap()
+        store.save(whole(author)).unwrap()
+        again = Source("control")
+        self.assertEqual(["control"], store.load({"control": again}).unwrap())
+        self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
 
 
 class Neighbours(TestCase):
@@ -233,15 +254,15 @@
         #  core (cut)        neighbour           the ingress
         #  |                 1.6 ------------->  pulls from it
         #  |                                     has the news, and does not vouch for them
-        comb = Ledger("comb")
-        follower = Follower(["a"], {"comb": comb})
+        control = Source("control")
+        follower = Subscriber(["a"], {"control": control})
         follower.watch(["n"])
         self.assertIn(SendBeat("n"), follower.tick(0))
         (pull,) = follower.heard_beat(10, "n", 0, heard(6, True))
         self.assertEqual("n", pull.to)
-        author = Ledger("comb")
+        author = Source("control")
         author.publish((1, 6), {"version": b"1"})
         follower.heard_news(pull.number, [sorted_out(author.since((0, 0)))])
-        self.assertEqual((1, 6), comb.stamp)
+        self.assertEqual((1, 6), control.stamp)
         self.assertFalse(follower.fresh(20))
         self.assertEqual((), follower.members)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,15 +4,15 @@
 
 import pytest
 
+from vetchusher.datagrams import Envelope, Pace
 from vetchusher.duties import Duties, Duty, Plan, Timing, holder_of
 from vetchusher.duties.candidate import Candidate, Reason, Stage
 from vetchusher.duties.duties import Note, Tell
 from vetchusher.duties.messages import Message, Topic, read, write
 from vetchusher.duties.voter import Voter
-from vetchusher.emulator.duties_explorer import explore, wander
-from vetchusher.emulator.duties_faults import PLANTED, planted
-from vetchusher.emulator.duties_world import MS, SECOND, Scene, World
-from vetchusher.tier import Envelope, Pace
+from vetchusher.emulator.duties.explorer import explore, wander
+from vetchusher.emulator.duties.mutations import PLANTED, planted
+from vetchusher.emulator.duties.world import MS, SECOND, Scene, World
 
 LEASE = 2 * SECOND
 TIMING = Timing(LEASE)
--- a/tests/test_duties_processes.py
+++ b/tests/test_duties_processes.py
@@ -12,9 +12,9 @@
 
 from vetchusher.duties import Duty, Plan, Timing
 from vetchusher.duties.engine import EngineDuties
-from vetchusher.emulator.duties_audit import Holding, gaps, holdings, wrong
-from vetchusher.emulator.duties_rig import FAULTS, SinkServer, Tier
-from vetchusher.emulator.etcd import Etcd, EtcdServer
+from vetchusher.emulator.duties.audit import Holding, gaps, holdings, wrong
+from vetchusher.emulator.duties.rig import FAULTS, SinkServer, Tier
+from vetchusher.emulator.outside.etcd import Etcd, EtcdServer
 from vetchusher.emulator.rig import listen
 from vetchusher.net import cli, fleet_cli, handover, votes
 from vetchusher.settings import SettingsError
@@ -312,7 +312,7 @@
 def test_what_is_switched_off_is_not_loaded():
     code = (
         "import sys, vetchusher.net.cli; "
-        "off = ('vetchusher.duties', 'vetchusher.tier', 'vetchusher.membership.'); "
+        "off = ('vetchusher.duties', 'vetchusher.datagrams', 'vetchusher.membership.'); "
         "on = {m for m in sys.modules if m.startswith(off)}; "
         "sys.exit(on != {'vetchusher.membership.backoff'})"
     )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,14 +7,20 @@
 import pytest
 from net_helpers import run, until
 
-from vetchusher.emulator.audit import Ledger
-from vetchusher.emulator.counter import Counter, Reply
-from vetchusher.emulator.demand import SECOND, Firm
-from vetchusher.emulator.deployments import FIRST
 from vetchusher.emulator.faults import Fault, FaultKind, Script
 from vetchusher.emulator.network import Cut, Datagrams
-from vetchusher.emulator.sockets import MOST_CONNECTIONS, CounterServer, DatagramPath, Timeline, read_call
-from vetchusher.emulator.virtual import Outage, Scene, World
+from vetchusher.emulator.outside.counter import Counter, Reply
+from vetchusher.emulator.outside.sockets import (
+    MOST_CONNECTIONS,
+    CounterServer,
+    DatagramPath,
+    Timeline,
+    read_call,
+)
+from vetchusher.emulator.quota.audit import Ledger
+from vetchusher.emulator.quota.demand import SECOND, Firm
+from vetchusher.emulator.quota.deployments import FIRST
+from vetchusher.emulator.quota.virtual import Outage, Scene, World
 
 MS = 1_000
 LIFE = 10 * SECOND
--- a/tests/test_limits_invariants.py
+++ b/tests/test_limits_invariants.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from vetchusher import interface as api
-from vetchusher.emulator.demand import SECOND
-from vetchusher.emulator.deployments import FIRST
 from vetchusher.emulator.faults import INSTANT, Fault, FaultKind, Script
 from vetchusher.emulator.network import Cut
-from vetchusher.emulator.virtual import START, Outage, Scene, World
+from vetchusher.emulator.quota.demand import SECOND
+from vetchusher.emulator.quota.deployments import FIRST
+from vetchusher.emulator.quota.virtual import START, Outage, Scene, World
 
 LENGTH = 12 * SECOND
 COSTLY = [n for n, p in enumerate(FIRST.plans) if p.over_cost > p.over_worth]
@@ -121,5 +121,3 @@
     assert all(
         peer is not None and min((peer - n) % ingresses, (n - peer) % ingresses) <= 4 for n, peer in told
     )
-
-
--- a/tests/test_apiary.py
+++ b/tests/test_local_system.py
@@ -16,11 +16,11 @@
 from testtools import TestCase
 from testtools.matchers import AfterPreprocessing, AllMatch, Equals, Is
 
-from vetchusher.emulator.apiary import FRONT, Apiary, first_configuration
-from vetchusher.emulator.platform import PlatformStandIn
+from vetchusher.discovery.reader import Listed
+from vetchusher.emulator.outside.platform import PlatformStandIn
+from vetchusher.emulator.system.local import FRONT, Apiary, first_configuration
 from vetchusher.events import Event
-from vetchusher.hive.platform import Platform
-from vetchusher.scouts.reader import Listed
+from vetchusher.node.platform import Platform
 from vetchusher.settings.node import Bounds, CloudApi
 
 
@@ -120,10 +120,10 @@
             await self.holds(apiary, second_configuration(), "/late/b")
 
             async def remembered():
-                return f" {Event.REMEMBERED:d} " in wiped.log
+                return f" {Event.RECOVERED:d} " in wiped.log
 
             await apiary.until(remembered, "the wiped one remembers")
-            self.assertIn(f" {Event.FORGETFUL:d} ", wiped.log)
+            self.assertIn(f" {Event.AMNESIAC:d} ", wiped.log)
             self.assertThat(
                 evacuated, AllMatch(AfterPreprocessing(lambda server: server.arrivals, Equals([])))
             )
@@ -132,7 +132,7 @@
 
     def test_people_start_and_end_it(self):
         started = subprocess.Popen(
-            [sys.executable, "-m", "vetchusher.emulator.apiary"],
+            [sys.executable, "-m", "vetchusher.emulator.system.local"],
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from vetchusher import interface as api
-from vetchusher.emulator.members_checks import CHECKS, world
-from vetchusher.emulator.members_faults import PLANTED, planted
-from vetchusher.emulator.members_world import Member
-from vetchusher.emulator.tier_world import MS, SECOND
+from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.emulator.membership.checks import CHECKS, world
+from vetchusher.emulator.membership.mutations import PLANTED, planted
+from vetchusher.emulator.membership.world import Member
 from vetchusher.fleet import subset, widen
 from vetchusher.limits.calls import CallLine
 from vetchusher.membership import messages
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -8,7 +8,7 @@
 from net_helpers import OK, free_port, run, settings, stage, until
 
 from vetchusher.duties import Duty, Plan, Timing
-from vetchusher.emulator.members_rig import MEMBER_FAULTS, MembersTier, Truth, Word, times, words, wrong
+from vetchusher.emulator.membership.rig import MEMBER_FAULTS, MembersTier, Truth, Word, times, words, wrong
 from vetchusher.membership.rules import Rules
 from vetchusher.net import cli, fleet_cli
 from vetchusher.settings.fleet import FleetSettings
--- a/tests/test_orders.py
+++ b/tests/test_operator_api.py
@@ -8,8 +8,8 @@
 from returns.result import Failure, Success
 from testtools.matchers import Equals
 
-from vetchusher.hive import orders
 from vetchusher.kinds import STATUS, Fault, Kind
+from vetchusher.node import operator_api
 
 
 class Settler:
@@ -27,11 +27,11 @@
             return self.outcome
         return Success(
             {
-                orders.ReplaceConfiguration: lambda: orders.Replaced(),
-                orders.RetrieveConfiguration: lambda: orders.Retrieved(b'{"version": "r1"}'),
-                orders.InitiateEvacuation: lambda: orders.EvacuationSet(call.zone, True),
-                orders.TerminateEvacuation: lambda: orders.EvacuationSet(call.zone, False),
-                orders.AskResolution: lambda: orders.Resolved(("10.0.0.1:80",), 2.0),
+                operator_api.ReplaceConfiguration: lambda: operator_api.Replaced(),
+                operator_api.RetrieveConfiguration: lambda: operator_api.Retrieved(b'{"version": "r1"}'),
+                operator_api.InitiateEvacuation: lambda: operator_api.EvacuationSet(call.zone, True),
+                operator_api.TerminateEvacuation: lambda: operator_api.EvacuationSet(call.zone, False),
+                operator_api.AskResolution: lambda: operator_api.Resolved(("10.0.0.1:80",), 2.0),
             }[type(call)]()
         )
 
@@ -51,7 +51,7 @@
 
 
 class DoorsTest(testtools.TestCase):
-    def talk(self, settler, script, kind=orders.ControlDoor, **bounds):
+    def talk(self, settler, script, kind=operator_api.ControlDoor, **bounds):
         """Run the script with a door open: it gets a way to connect, and the door."""
 
         async def run():
@@ -101,10 +101,10 @@
         self.assertThat(answers[1][2], Equals(b'{"version": "r1"}'))
         self.assertThat(json.loads(answers[3][2]), Equals({"zone": "nörd", "on": False}))
         said = [
-            orders.ReplaceConfiguration(b'{"version"'),
-            orders.RetrieveConfiguration(),
-            orders.InitiateEvacuation("north-1"),
-            orders.TerminateEvacuation("nörd"),
+            operator_api.ReplaceConfiguration(b'{"version"'),
+            operator_api.RetrieveConfiguration(),
+            operator_api.InitiateEvacuation("north-1"),
+            operator_api.TerminateEvacuation("nörd"),
         ]
         self.assertThat(settler.calls, Equals(said))
 
@@ -114,10 +114,10 @@
             message("GET /resolution?name=a.example&region=n&zone=n-1"),
             message("GET /resolution?zone=%zz"),
         )
-        (_, _, body), (status, _, _) = self.ask(settler, *raws, kind=orders.DirectoryDoor)
+        (_, _, body), (status, _, _) = self.ask(settler, *raws, kind=operator_api.DirectoryDoor)
         self.assertThat(json.loads(body), Equals({"addresses": ["10.0.0.1:80"], "ttl_s": 2.0}))
         self.assertThat(
-            (status, settler.calls[0]), Equals((200, orders.AskResolution("a.example", "n", "n-1")))
+            (status, settler.calls[0]), Equals((200, operator_api.AskResolution("a.example", "n", "n-1")))
         )
 
     def test_faults_are_answered_by_their_kind(self):
@@ -132,7 +132,9 @@
             )
             self.assertThat(status, Equals(STATUS[fault.kind]))
             self.assertThat(json.loads(body), Equals({"error": fault.kind, "text": fault.text}))
-            back = {Kind.NOT_SETTLED: f"{(fault.retry_after_us or orders.BACK_US) / 1e6:.3f}"}.get(fault.kind)
+            back = {Kind.NOT_SETTLED: f"{(fault.retry_after_us or operator_api.BACK_US) / 1e6:.3f}"}.get(
+                fault.kind
+            )
             self.assertThat(headers.get("retry-after"), Equals(back))
 
     def test_what_is_no_call_never_reaches_whoever_settles(self):
@@ -172,7 +174,7 @@
             writer.write(message("POST /configuration/replace", b"x" * 30))
             refused = await read_answer(second)
             held = door.held
-            settler.outcome.set_result(Success(orders.Replaced()))
+            settler.outcome.set_result(Success(operator_api.Replaced()))
             return refused[0], held, (await read_answer(first))[0], door.held
 
         self.assertThat(self.talk(Settler(), script, most_body=100), Equals((503, 80, 200, 0)))
@@ -188,12 +190,15 @@
             return status, (await read_answer(unsettled))[0], door.held
 
         told = []
-        self.assertLess(orders.ANSWER_S, 1.0)  # then callers hear of it before they go
-        with mock.patch.object(orders, "READ_S", 0.05), mock.patch.object(orders, "ANSWER_S", 0.05):
+        self.assertLess(operator_api.ANSWER_S, 1.0)  # then callers hear of it before they go
+        with (
+            mock.patch.object(operator_api, "READ_S", 0.05),
+            mock.patch.object(operator_api, "ANSWER_S", 0.05),
+        ):
             answers = self.talk(Settler(), script, refused=lambda *refused: told.append(refused))
         self.assertThat(answers, Equals((408, 503, 0)))
         ((call, fault),) = told
-        self.assertThat((call, fault.kind), Equals((orders.RetrieveConfiguration(), Kind.NOT_SETTLED)))
+        self.assertThat((call, fault.kind), Equals((operator_api.RetrieveConfiguration(), Kind.NOT_SETTLED)))
 
     def test_a_chunk_that_cannot_be_read_is_answered_at_once(self):
         async def script(connect, door):
@@ -215,8 +220,8 @@
                 await asyncio.sleep(0.005)
             return True
 
-        long = Success(orders.Retrieved(b"x" * (32 << 20)))
-        with mock.patch.object(orders, "READ_S", 0.05):
+        long = Success(operator_api.Retrieved(b"x" * (32 << 20)))
+        with mock.patch.object(operator_api, "READ_S", 0.05):
             self.assertTrue(self.talk(Settler(long), script))
 
     def test_a_call_under_way_is_answered_while_the_door_closes(self):
@@ -228,7 +233,7 @@
                 await asyncio.sleep(0.001)
             closing = asyncio.ensure_future(door.close())
             await asyncio.sleep(0)
-            door.settle.outcome.set_result(Success(orders.EvacuationSet("a", True)))
+            door.settle.outcome.set_result(Success(operator_api.EvacuationSet("a", True)))
             status, headers, _ = await read_answer(reader)
             await closing
             return status, headers["connection"]
@@ -245,13 +250,13 @@
                 (link,) = door.door.links
                 link.wire.abort()
                 left.append(call)
-                return Success(orders.EvacuationSet("a", True))
+                return Success(operator_api.EvacuationSet("a", True))
 
             door.settle = settle
             reader, writer = await connect()
             writer.write(message("POST /evacuation/a/initiate"))
             return await reader.read()
 
-        with mock.patch.object(orders.log, "error") as said:
+        with mock.patch.object(operator_api.log, "error") as said:
             self.assertThat(self.talk(Settler(), script), Equals(b""))
         self.assertThat((len(left), said.mock_calls), Equals((1, [])))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,9 +8,9 @@
 import pytest
 from net_helpers import OK, Discovery, Peer, ask, entry, free_port, ingress, never, run, until
 
-from vetchusher.emulator.counter import Counter
 from vetchusher.emulator.network import Datagrams
-from vetchusher.emulator.sockets import CounterServer, DatagramPath, Timeline
+from vetchusher.emulator.outside.counter import Counter
+from vetchusher.emulator.outside.sockets import CounterServer, DatagramPath, Timeline
 from vetchusher.limits import State, Tuning
 from vetchusher.net import peers as datagrams
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -5,7 +5,7 @@
 import pytest
 from net_helpers import OK, PERIOD, Discovery, Peer, answer, ask, counting, entry, ingress, run, stage
 
-from vetchusher.emulator.messages import read_message
+from vetchusher.emulator.outside.messages import read_message
 
 
 async def piecemeal(whole, gap, parts, reader, writer):
--- a/tests/test_front.py
+++ b/tests/test_proxy.py
@@ -13,11 +13,11 @@
 import uvloop
 from testtools import TestCase
 
-from vetchusher.emulator.messages import free_port
-from vetchusher.emulator.servers import StandIn
-from vetchusher.hive.front import Front
-from vetchusher.hive.trust import Learnt, Trusts
+from vetchusher.emulator.outside.messages import free_port
+from vetchusher.emulator.outside.servers import StandIn
 from vetchusher.net.door import Bounds, ClientLink
+from vetchusher.node.proxy import Proxy
+from vetchusher.node.trust import Learnt, Trusts
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
 
 PATIENCE_S = 60.0  # on the clock of the loop: what the stories wait for is within
@@ -69,7 +69,7 @@
 @asynccontextmanager
 async def ingress(*servers, **changed):
     loop = asyncio.get_running_loop()
-    front = Front(loop, Settings(), random.Random(7), Open(), Open(), lambda note: None)
+    front = Proxy(loop, Settings(), random.Random(7), Open(), Open(), lambda note: None)
     port = free_port()
     front.open("127.0.0.1", port)
     front.configuration(configuration(**changed))
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -20,29 +20,29 @@
 import testtools
 from returns.result import Success
 
-from vetchusher.comb import (
-    Heard,
+from vetchusher.control import (
     Input,
-    Kept,
-    Member,
+    Persist,
+    Persisted,
+    PersistentState,
+    Received,
     Replace,
-    Save,
-    Saved,
+    Replica,
+    Send,
     Store,
     Submitted,
-    Tell,
     Tick,
     Timing,
     archive,
     repair,
     store,
 )
-from vetchusher.comb.repair import Fetch, Fetched, Look, Mend, Pace, Repair, Rewrite, Scan
-from vetchusher.comb.state import at, changed, first_state, ordered
-from vetchusher.emulator.tier_world import SECOND
-from vetchusher.events import Note
-from vetchusher.hive.mending import Mending as HiveMending
-from vetchusher.hive.saving import Saving
+from vetchusher.control.repair import Fetch, Fetched, Look, Mend, Pace, Repair, Rewrite, Scan
+from vetchusher.control.state import at, changed, first_state, ordered
+from vetchusher.emulator.fleet_world import SECOND
+from vetchusher.events import LogEvent
+from vetchusher.node.persistence import Persister
+from vetchusher.node.repair import RepairDriver as HiveMending
 
 MACHINES = "123"  # 1 is the primary
 BODY = b",".join(b'{"host":"h%d.example","path":"/%d/","service":"a"}' % (n, n * n) for n in range(400))
@@ -60,9 +60,9 @@
         self.now, self.committed = 0, committed
         self.stores = {ip: Store.open(str(folder / ip)).unwrap() for ip in MACHINES}
         self.repairs = {ip: Repair(ip, Pace(), random.Random(int(ip)), 0) for ip in MACHINES}
-        self.memory: dict[str, Kept] = {}
+        self.memory: dict[str, PersistentState] = {}
         self.notes: list[tuple[str, str]] = []
-        self.letters: Counter[str] = Counter()
+        self.messages: Counter[str] = Counter()
         self.bytes = 0
         self.wrong: list[str] = []
 
@@ -84,7 +84,7 @@
             stamped = int(found[1]), int(found[2])
             body = BODY + found[3].encode()
             state = changed(ordered(first_state(), Replace(stamped[1], body)).unwrap(), stamped)
-            self.memory[ip] = Kept(stamped[0], state)
+            self.memory[ip] = PersistentState(stamped[0], state)
             own.save(self.memory[ip])
         elif word == "rot":
             assert own.link is not None
@@ -108,13 +108,13 @@
     def give(self, ip: str, event: repair.Input) -> None:
         for out in self.repairs[ip].handle(self.now, event):
             match out:
-                case Note():
+                case LogEvent():
                     self.notes.append((ip, out.event.name))
-                case Tell(to, letter):
-                    self.letters[str(letter.WhichOneof("kind"))] += 1
-                    self.bytes += letter.ByteSize()
+                case Send(to, message):
+                    self.messages[str(message.WhichOneof("kind"))] += 1
+                    self.bytes += message.ByteSize()
                     self.look(to)
-                    self.give(to, Heard(ip, "", letter))
+                    self.give(to, Received(ip, "", message))
                 case Scan():
                     self.give(ip, self.stores[ip].scan())
                 case Fetch():
@@ -125,7 +125,7 @@
                 case Mend():
                     state = self.stores[ip].mended(out.at, out.leaves, out.rows, out.root)
                     if state is not None and at(self.memory[ip].state) == out.at:
-                        self.memory[ip] = Kept(self.memory[ip].promised, state)
+                        self.memory[ip] = PersistentState(self.memory[ip].promised, state)
                         self.stores[ip].save(self.memory[ip])
 
 
@@ -202,7 +202,7 @@
                     (own, copy) if own is not None and (sender, number) == (own.other, own.number) else None
                 )
 
-            def answer(self: Repair, sender: str, asked: repair.Compare) -> Tell:
+            def answer(self: Repair, sender: str, asked: repair.Compare) -> Send:
                 assert self.look.copy is not None
                 asked.stamp.CopyFrom(repair.stamp(self.look.copy.stamp))
                 return answered(self, sender, asked)
@@ -217,7 +217,7 @@
         yield
 
 
-class Mending(testtools.TestCase):
+class RepairDriver(testtools.TestCase):
     def play(self, name: str) -> Copies:
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
@@ -242,7 +242,7 @@
     def test_a_spoilt_row_is_noted_written_again_and_never_told(self) -> None:
         copies = self.play("the primary's rots")
         self.assertEqual([("1", "ROWS_SPOILT"), ("1", "ROWS_MENDED")], copies.notes)
-        self.assertEqual(0, copies.letters["rows_told"])
+        self.assertEqual(0, copies.messages["rows_told"])
 
     def test_only_the_leaves_that_differ_are_told_and_a_calm_minute_costs_little(self) -> None:
         copies = self.play("one copy is another")
@@ -266,7 +266,7 @@
 
     def test_an_import_without_its_check_is_found(self) -> None:
         state = ordered(first_state(), Replace(1, BODY)).unwrap()
-        data = archive.packed(Kept(1, state))
+        data = archive.packed(PersistentState(1, state))
         spoilt = data.replace(b"h300.example", b"h301.example")
         self.assertFalse(isinstance(archive.unpacked(spoilt), Success))
         with mock.patch.object(archive, "intact", lambda data, kept: True):
@@ -282,22 +282,22 @@
         self.addCleanup(shutil.rmtree, self.folder)
         self.store = Store.open(self.folder).unwrap()
         self.addCleanup(self.store.close)
-        self.notes: list[Note] = []
+        self.notes: list[LogEvent] = []
 
-    def kept(self, number: int) -> Kept:
-        return Kept(number, changed(first_state(), (number, number)))
+    def kept(self, number: int) -> PersistentState:
+        return PersistentState(number, changed(first_state(), (number, number)))
 
     def test_a_disk_that_hangs_holds_up_nothing_and_the_newest_record_follows(self) -> None:
         hangs, saved, turns = threading.Event(), [], 0
         write = self.store.write
 
-        def slow(link: sqlite3.Connection, kept: Kept) -> None:
+        def slow(link: sqlite3.Connection, kept: PersistentState) -> None:
             hangs.wait()
             write(link, kept)
 
         async def main() -> None:
             nonlocal turns
-            saving = Saving(
+            saving = Persister(
                 asyncio.get_running_loop(), self.store, lambda *told: saved.append(told), self.notes.append
             )
             with mock.patch.object(self.store, "write", slow):
@@ -322,7 +322,7 @@
         code = (
             "import threading\n"
             "from concurrent.futures import ThreadPoolExecutor\n"
-            "from vetchusher.hive.start import end\n"
+            "from vetchusher.node.start import end\n"
             "ThreadPoolExecutor(1).submit(threading.Event().wait)\n"
             "print('told')\n"
             "raise SystemExit(end(7))\n"
@@ -332,20 +332,20 @@
 
     def test_a_row_that_rots_under_a_running_process_is_written_again(self) -> None:
         now = 0
-        member = Member("1", "a", ["1"], True, None, Timing(), random.Random(1), 0, losses=0)
-        letters: list[object] = []
+        member = Replica("1", "a", ["1"], True, None, Timing(), random.Random(1), 0, losses=0)
+        messages: list[object] = []
 
         async def main() -> None:
             nonlocal now
             loop = asyncio.get_running_loop()
-            saving = Saving(loop, self.store, lambda *told: feed(Saved(*told)), self.notes.append)
+            saving = Persister(loop, self.store, lambda *told: feed(Persisted(*told)), self.notes.append)
             mending = HiveMending(
-                "1", member, saving, random.Random(1), lambda: now, lambda i: feed(i), letters.append
+                "1", member, saving, random.Random(1), lambda: now, lambda i: feed(i), messages.append
             )
 
             def feed(event: Input) -> None:
                 for out in member.handle(now, event):
-                    if isinstance(out, Save):
+                    if isinstance(out, Persist):
                         saving.save(out.token, out.kept)
 
             async def until(look: Callable[[], bool]) -> None:
@@ -366,7 +366,7 @@
             assert self.store.link is not None
             self.store.link.execute("UPDATE chunk SET value = x'00'")
             noted = ["ROWS_SPOILT", "ROWS_MENDED"]
-            await until(lambda: [n.event.name for n in letters if isinstance(n, Note)] == noted)
+            await until(lambda: [n.event.name for n in messages if isinstance(n, LogEvent)] == noted)
             mending.close()
             saving.close()
 
--- a/tests/test_foragers.py
+++ b/tests/test_routing.py
@@ -6,14 +6,14 @@
 from returns.result import Failure
 from testtools import TestCase
 
-from vetchusher.foragers import Choice, Ground, Head, RouteTable, Seen, judge
-from vetchusher.foragers.claims import CLAIM, Claim, seen_of, what_next
-from vetchusher.foragers.headers import passed_on
-from vetchusher.foragers.patches import Patches, workers
-from vetchusher.foragers.request import Answer, Cancel, Refuse, Send, WakeAt
-from vetchusher.foragers.routes import allowed_regions
+from vetchusher.discovery.server import Server
 from vetchusher.kinds import Kind
-from vetchusher.scouts.server import Server
+from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge
+from vetchusher.routing.claims import CLAIM, Claim, seen_of, what_next
+from vetchusher.routing.headers import passed_on
+from vetchusher.routing.patches import Patches, workers
+from vetchusher.routing.request import Answer, Cancel, Refuse, Send, WakeAt
+from vetchusher.routing.routes import allowed_regions
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
 
 S = 1_000_000
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,17 +16,17 @@
 import testtools
 from returns.result import Failure, Success
 
-from vetchusher.comb import Kept, Replace, SetEvacuation, Store, archive, formats
-from vetchusher.comb.cells import check_of, raw_of, value_of
-from vetchusher.comb.chunks import LEAST, MOST, name_of, split
-from vetchusher.comb.digests import Tree, digests_of, small_rows, state_of
-from vetchusher.comb.file import APPLICATION, KEPT, NAME
-from vetchusher.comb.floor import floor_of
-from vetchusher.comb.state import changed, first_record, first_state, ordered, without_configuration
-from vetchusher.emulator.comb_world import Scene, World
-from vetchusher.emulator.tier_world import MS, SECOND
+from vetchusher.control import PersistentState, Replace, SetEvacuation, Store, archive, formats
+from vetchusher.control.chunks import LEAST, MOST, name_of, split
+from vetchusher.control.database_file import APPLICATION, KEPT, NAME
+from vetchusher.control.digests import Tree, digests_of, small_rows, state_of
+from vetchusher.control.encoding import check_of, raw_of, value_of
+from vetchusher.control.restore import floor_of
+from vetchusher.control.state import changed, first_record, first_state, ordered, without_configuration
+from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, Stamp, VoterState
+from vetchusher.emulator.control.world import Scene, World
+from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.kinds import Kind
-from vetchusher.waggle.wire_pb2 import CombOffice, CombState, Evacuation, Stamp
 
 
 def routes(count: int, version: int = 1, changed_at: int = -1) -> bytes:
@@ -52,10 +52,10 @@
         self.folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
 
-    def kept(self, epoch: int, body: bytes = b"", version: int = 0) -> Kept:
+    def kept(self, epoch: int, body: bytes = b"", version: int = 0) -> PersistentState:
         state = changed(first_state(), (epoch, epoch))
         state = ordered(state, Replace(version, body)).unwrap() if version else state
-        return Kept(epoch, state, "2", first_record("123"), copy=epoch != 3)
+        return PersistentState(epoch, state, "2", first_record("123"), copy=epoch != 3)
 
     def store(self, name: str = "own") -> Store:
         store = Store.open(str(self.folder / name)).unwrap()
@@ -170,7 +170,7 @@
 
     # -- formats -------------------------------------------------------------------------------
 
-    def first_format(self, name: str, kept: Kept) -> Path:
+    def first_format(self, name: str, kept: PersistentState) -> Path:
         """A folder as the program wrote it whose format was 1."""
         place = self.folder / name
         place.mkdir()
@@ -181,8 +181,8 @@
         head = without_configuration(kept.state).SerializeToString()
         rows = {"promised": b"%d" % kept.promised, "state": head, "configuration": kept.state.configuration}
         if kept.owner:
-            office = CombOffice(owner=kept.owner, record=kept.record, copy=kept.copy)
-            rows["office"] = office.SerializeToString()
+            reconfiguration = VoterState(owner=kept.owner, record=kept.record, copy=kept.copy)
+            rows["office"] = reconfiguration.SerializeToString()
         for row, value in rows.items():
             link.execute("INSERT INTO kept VALUES (?, ?, ?)", (row, value, check_of(row, value)))
         link.execute("PRAGMA journal_mode=WAL")
@@ -340,7 +340,7 @@
         self.folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
         state = ordered(changed(first_state(), (5, 9)), Replace(4, routes(20, 4))).unwrap()
-        self.kept = Kept(5, ordered(state, SetEvacuation("north", True)).unwrap())
+        self.kept = PersistentState(5, ordered(state, SetEvacuation("north", True)).unwrap())
 
     def test_any_wrong_byte_is_refused(self) -> None:
         data = archive.packed(self.kept)
@@ -389,7 +389,7 @@
                 world.wipe(ip)
             world.judge.wrong.clear()
             world.floors = {
-                ip: Kept(floor.promised + n, changed(floor.state, (floor.promised + n, 0)))
+                ip: PersistentState(floor.promised + n, changed(floor.state, (floor.promised + n, 0)))
                 for n, ip in enumerate(given)
             }
             for ip in world.seeds:
@@ -411,7 +411,7 @@
     return world
 
 
-def copy_in(world: World) -> Kept:
+def copy_in(world: World) -> PersistentState:
     """What a disk holds that has a copy."""
     return next(m.disk for m in world.machines.values() if m.disk is not None and m.disk.copy)
 
@@ -454,8 +454,8 @@
             ranges = own.differing(level, other.told(level, ranges))
             self.assertEqual(1, len(ranges))
         for changed_state in (
-            CombState(members="12"),
-            CombState(version=9),
-            CombState(evacuations=[Evacuation()]),
+            ControlState(members="12"),
+            ControlState(version=9),
+            ControlState(evacuations=[Evacuation()]),
         ):
             self.assertNotEqual(own.root, Tree.over(digests_of(changed_state, names)).root)
--- a/tests/test_streamed.py
+++ b/tests/test_streamed.py
@@ -5,7 +5,7 @@
 import pytest
 from net_helpers import PERIOD, Discovery, Peer, answer, counting, entry, ingress, run
 
-from vetchusher.emulator.messages import read_message
+from vetchusher.emulator.outside.messages import read_message
 from vetchusher.net.plain import MOST_BODY
 
 SIZE = 40 * MOST_BODY
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -21,17 +21,17 @@
 from returns.pipeline import is_successful
 from testtools.matchers import Contains, Equals
 
-from vetchusher import comb
-from vetchusher.events import Event, Note
+from vetchusher import control
+from vetchusher.distribution.rows import configuration_of, evacuated_of, rows_of
+from vetchusher.distribution.wire_pb2 import ControlState, Stamp
+from vetchusher.events import Event, LogEvent
 from vetchusher.fields import FieldError
-from vetchusher.hive import cli, log, reading
 from vetchusher.kinds import Kind
+from vetchusher.node import cli, log, reading
 from vetchusher.settings import compiled, compiling, node
 from vetchusher.settings.configuration import read_configuration
 from vetchusher.settings.document import misfit
 from vetchusher.settings.node import node_of, read_node
-from vetchusher.waggle.rows import configuration_of, evacuated_of, rows_of
-from vetchusher.waggle.wire_pb2 import CombState, Stamp
 
 NODE = """
 node_name = "keeper-1"
@@ -468,12 +468,12 @@
         self.assertThat((code, out, len(err.splitlines())), Equals((2, "", 1)))
 
     def test_a_folder_is_looked_into_taken_out_and_brought_in(self):
-        state = CombState(stamp=Stamp(epoch=4, seq=9), version=41, configuration=json.dumps(TREE).encode())
+        state = ControlState(stamp=Stamp(epoch=4, seq=9), version=41, configuration=json.dumps(TREE).encode())
         state.members.append("10.2.0.5")
         state.evacuations.add(zone="north-1", on=True, order=3)
         data, file, new = (str(self.folder / name) for name in ("data", "export", "new"))
-        store = comb.Store.open(data).unwrap()
-        store.save(comb.Kept(5, state))
+        store = control.Store.open(data).unwrap()
+        store.save(control.PersistentState(5, state))
         store.close()
         before = {p.name: p.read_bytes() for p in pathlib.Path(data).iterdir()}
         code, out, _ = self.call("inspect", data)
@@ -530,7 +530,7 @@
         few = log.FewOfEach(most=2)
 
         def line(second, event):
-            record = logging.makeLogRecord({"msg": Note(event).line(), "created": second, "event": event})
+            record = logging.makeLogRecord({"msg": LogEvent(event).line(), "created": second, "event": event})
             return log.OneLine().format(record)[26:] if few.filter(record) else None
 
         first = [line(7, Event.STARTED) for _ in range(5)] + [line(7, Event.STOPPING)]
--- a/tests/test_hive_world.py
+++ b/tests/test_system_world.py
@@ -6,10 +6,10 @@
 
 from testtools import TestCase
 
-from vetchusher.emulator.hive_faults import planted
-from vetchusher.emulator.hive_search import Search, drawn
-from vetchusher.emulator.hive_stories import Scene, Story
-from vetchusher.emulator.hive_world import World
+from vetchusher.emulator.system.mutations import planted
+from vetchusher.emulator.system.scenarios import Scene, Story
+from vetchusher.emulator.system.search import Search, drawn
+from vetchusher.emulator.system.world import World
 
 # What a configuration of which it never heard would allow is not denied by one that is cut off.
 CUT = """
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -4,11 +4,11 @@
 
 from testtools import TestCase
 
-from vetchusher.emulator.quota_faults import PLANTED
-from vetchusher.emulator.quota_judge import SECOND, Demand
-from vetchusher.emulator.quota_scenes import drawn, drawn_large
-from vetchusher.emulator.quota_ways import EstimateAlone, GuardAlone
-from vetchusher.emulator.quota_world import Scene, Trouble, World
+from vetchusher.emulator.quota.judge import SECOND, Demand
+from vetchusher.emulator.quota.mutations import PLANTED
+from vetchusher.emulator.quota.scenes import drawn, drawn_large
+from vetchusher.emulator.quota.ways import EstimateAlone, GuardAlone
+from vetchusher.emulator.quota.world import Scene, Trouble, World
 from vetchusher.limits.tally import ALONE_US, Tally
 from vetchusher.limits.totals import Holder
 from vetchusher.limits.windows import Bounds, Pair, shape_of
--- a/vetchusher/comb/__init__.py
+++ b/vetchusher/control/__init__.py
@@ -1,51 +1,51 @@
 """The control state: epochs, primary, copies, forgetful machines, and the store on disk.
 
 Owns: what the operator has ordered (configuration, evacuations), and who holds copies of it; every core
-machine runs one `Member` (pure) and one `Store` (in a thread of its own).
+machine runs one `Replica` (pure) and one `Store` (in a thread of its own).
 """
 
-from .acts import (
+from .messages import (
     Committed,
-    Done,
-    Heard,
+    Completed,
     Input,
-    Kept,
     Mended,
     Order,
     Output,
+    Persist,
+    Persisted,
+    PersistentState,
+    Received,
     Replace,
     Retire,
     Retrieve,
-    Save,
-    Saved,
+    Send,
     SetEvacuation,
     Submitted,
-    Tell,
     Tick,
     Timing,
 )
-from .member import Member
+from .replica import Replica
 from .store import Store
 
 __all__ = [
     "Committed",
-    "Done",
-    "Heard",
+    "Completed",
     "Input",
-    "Kept",
-    "Member",
     "Mended",
     "Order",
     "Output",
+    "Persist",
+    "Persisted",
+    "PersistentState",
+    "Received",
     "Replace",
+    "Replica",
     "Retire",
     "Retrieve",
-    "Save",
-    "Saved",
+    "Send",
     "SetEvacuation",
     "Store",
     "Submitted",
-    "Tell",
     "Tick",
     "Timing",
 ]
--- a/vetchusher/comb/recall.py
+++ b/vetchusher/control/amnesia.py
@@ -13,16 +13,22 @@
 import random
 from collections.abc import Sequence
 
-from vetchusher.waggle.wire_pb2 import CombLetter, CombRecord, CombState, Recall, Recalled
-
-from .acts import Kept, Output, Tell, Timing
-from .floor import begun_from
+from vetchusher.distribution.wire_pb2 import (
+    ControlMessage,
+    ControlState,
+    RecoveryReply,
+    RecoveryRequest,
+    ReplicaSet,
+)
+
+from .messages import Output, PersistentState, Send, Timing
+from .restore import begun_from
 from .state import first_record, first_state, majority, newest
 
 MOST_MET = 64
 
 
-class Recalling:
+class AmnesiaRecovery:
     """It owns the answers: one a machine asked.  Asked are the seeds, the members that others name, and
     whoever calls."""
 
@@ -33,7 +39,7 @@
         seeds: Sequence[str],
         rng: random.Random,
         now: int,
-        floor: Kept | None = None,
+        floor: PersistentState | None = None,
     ) -> None:
         """:param floor: what an import brought: where nobody remembers, all begin from the highest"""
         self.floor = floor
@@ -44,36 +50,36 @@
         self.begins = now + timing.lease_us
         self.asked_at = now - timing.recall_us
         self.round = rng.randrange(1, 1 << 32)
-        self.answers: dict[str, Recalled] = {}
+        self.answers: dict[str, RecoveryReply] = {}
         self.met: set[str] = set()  # who called; whoever does may remember
 
     def tick(self, now: int) -> list[Output]:
         if now < max(self.begins, self.asked_at + self.timing.recall_us):
             return []
         self.asked_at = now
-        letter = CombLetter(recall=Recall(round=self.round))
-        return [Tell(ip, letter) for ip in sorted(self.contacts()) if not self.remembers(ip)]
+        message = ControlMessage(recovery_request=RecoveryRequest(round=self.round))
+        return [Send(ip, message) for ip in sorted(self.contacts()) if not self.remembers(ip)]
 
     def contacts(self) -> set[str]:
-        return {*self.seeds, *self.met, *(self.record() or CombRecord()).members} - {self.me}
+        return {*self.seeds, *self.met, *(self.record() or ReplicaSet()).members} - {self.me}
 
     def meet(self, sender: str) -> None:
         if len(self.met) < MOST_MET:
             self.met.add(sender)
 
     def remembers(self, ip: str) -> bool:
-        return ip in self.answers and not self.answers[ip].forgetful
+        return ip in self.answers and not self.answers[ip].amnesiac
 
-    def heard(self, sender: str, answer: Recalled) -> None:
+    def heard(self, sender: str, answer: RecoveryReply) -> None:
         if answer.round == self.round and sender in self.contacts() and not self.remembers(sender):
             self.answers[sender] = answer
 
-    def record(self) -> CombRecord | None:
+    def record(self) -> ReplicaSet | None:
         """The newest that anybody who remembers told; None: nobody remembers yet."""
-        told = [a.record for a in self.answers.values() if not a.forgetful and a.record.members]
+        told = [a.record for a in self.answers.values() if not a.amnesiac and a.record.members]
         return newest(told) if told else None
 
-    def done(self, now: int) -> Kept | None:
+    def done(self, now: int) -> PersistentState | None:
         """What this machine may go on with, as soon as enough have answered."""
         record = self.record()
         if record is None:
@@ -83,9 +89,9 @@
         if remembering < majority(len(record.members)) and not others <= self.answers.keys():
             return None
         promise = max(self.answers.values(), key=lambda a: a.promised)
-        return Kept(promise.promised, CombState(), promise.owner, record, copy=False)
+        return PersistentState(promise.promised, ControlState(), promise.owner, record, copy=False)
 
-    def anew(self, now: int) -> Kept | None:
+    def anew(self, now: int) -> PersistentState | None:
         """All seeds have forgotten too, and nobody else has called: the system begins anew.
 
         Danger: members that are not among the seeds may remember, and only be on their way back; so this
@@ -96,4 +102,6 @@
             return None
         told = [a.floor for a in self.answers.values() if a.HasField("floor")]
         floors = told + ([self.floor.state] if self.floor is not None else [])
-        return begun_from(floors, self.seeds) or Kept(0, first_state(), record=first_record(self.seeds))
+        return begun_from(floors, self.seeds) or PersistentState(
+            0, first_state(), record=first_record(self.seeds)
+        )
--- a/vetchusher/comb/archive.py
+++ b/vetchusher/control/archive.py
@@ -14,12 +14,12 @@
 from google.protobuf.message import DecodeError
 from returns.result import Failure, Result, Success
 
+from vetchusher.distribution.wire_pb2 import Row, SourceNews
 from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle.wire_pb2 import Row, SourceNews
 
-from .acts import Kept
-from .cells import cells_of, kept_of
-from .file import create, sync
+from .database_file import create, sync
+from .encoding import cells_of, kept_of
+from .messages import PersistentState
 from .store import IMPORTED, Store
 
 FIRST_LINE = b"vetchusher comb export "
@@ -27,16 +27,16 @@
 BODY = "configuration"
 
 
-def packed(kept: Kept) -> bytes:
+def packed(kept: PersistentState) -> bytes:
     """A line that names the form, a line with the digest of all that follows, and the rows."""
     rows, body = cells_of(kept)
-    told = SourceNews(source="comb", whole=True, stamp=kept.state.stamp)
+    told = SourceNews(source="control", whole=True, stamp=kept.state.stamp)
     told.rows.extend(Row(key=name, value=value) for name, value in {**rows, BODY: body}.items())
     raw = told.SerializeToString(deterministic=True)
     return FIRST_LINE + b"%d\n" % FORM + blake3(raw).hexdigest().encode() + b"\n" + raw
 
 
-def unpacked(data: bytes) -> Result[Kept, Fault]:
+def unpacked(data: bytes) -> Result[PersistentState, Fault]:
     """What `packed` was given; any other byte anywhere is a failure in a line."""
     first, _, rest = data.partition(b"\n")
     if not first.startswith(FIRST_LINE) or not first.removeprefix(FIRST_LINE).isdigit():
@@ -55,12 +55,12 @@
     return Success(kept) if intact(data, kept) else bad("is not as it was written")
 
 
-def intact(data: bytes, kept: Kept) -> bool:
+def intact(data: bytes, kept: PersistentState) -> bool:
     """Whether nothing else could have been written; the digest is part of it."""
     return packed(kept) == data
 
 
-def write_file(path: Path, kept: Kept) -> Result[None, Fault]:
+def write_file(path: Path, kept: PersistentState) -> Result[None, Fault]:
     """Whole and synced, or nothing; a file that is there stays."""
     made = path.with_name(f"{path.name}.new")
     try:
@@ -77,14 +77,14 @@
         made.unlink(missing_ok=True)
 
 
-def read_file(path: Path) -> Result[Kept, Fault]:
+def read_file(path: Path) -> Result[PersistentState, Fault]:
     try:
         return unpacked(path.read_bytes())
     except OSError as error:
         return bad(error.strerror or str(error))
 
 
-def bring_in(folder: Path, floor: Kept) -> Result[None, Fault]:
+def bring_in(folder: Path, floor: PersistentState) -> Result[None, Fault]:
     """Into a folder that is empty or absent: whole and synced, or nothing."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
--- a/vetchusher/comb/digests.py
+++ b/vetchusher/control/digests.py
@@ -12,7 +12,7 @@
 
 from blake3 import blake3
 
-from vetchusher.waggle.wire_pb2 import CombState
+from vetchusher.distribution.wire_pb2 import ControlState
 
 FAN = 16
 LEAVES = FAN * FAN
@@ -34,15 +34,15 @@
     return f"{CHUNK}{number:08d}"
 
 
-def small_rows(state: CombState) -> dict[str, bytes]:
+def small_rows(state: ControlState) -> dict[str, bytes]:
     """Rows of all but the configuration; a field that this program does not know is part of none."""
     rows = {f"{EVACUATION}{e.zone}": e.SerializeToString(deterministic=True) for e in state.evacuations}
-    bare = CombState()
+    bare = ControlState()
     bare.CopyFrom(state)
     bare.ClearField("configuration")  # of some MB; it is not to be copied for each field
     for field, _ in state.ListFields():
         if field.name not in APART:
-            alone = CombState()
+            alone = ControlState()
             alone.CopyFrom(bare)
             for other, _ in bare.ListFields():
                 if other.name != field.name:
@@ -51,18 +51,18 @@
     return rows
 
 
-def digests_of(state: CombState, chunks: Iterable[bytes]) -> dict[str, bytes]:
+def digests_of(state: ControlState, chunks: Iterable[bytes]) -> dict[str, bytes]:
     """:param chunks: names (digests) of the configuration's chunks, in their order"""
     found = {key: digest(value) for key, value in small_rows(state).items()}
     return found | {chunk_key(number): name for number, name in enumerate(chunks)}
 
 
-def state_of(rows: Mapping[str, bytes]) -> CombState:
+def state_of(rows: Mapping[str, bytes]) -> ControlState:
     """The state of whole rows, without its stamp.
 
     :raises DecodeError: rows that are none
     """
-    state = CombState()
+    state = ControlState()
     for key, value in sorted(rows.items()):
         if key.startswith(EVACUATION):
             state.evacuations.add().MergeFromString(value)
--- a/vetchusher/comb/memory.py
+++ b/vetchusher/control/durable_state.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from vetchusher.events import Event, Note
-from vetchusher.waggle.wire_pb2 import CombLetter, CombRecord, CombState
+from vetchusher.distribution.wire_pb2 import ControlMessage, ControlState, ReplicaSet
+from vetchusher.events import Event, LogEvent
 
-from .acts import Kept, Output, Save, Tell, Timing
+from .messages import Output, Persist, PersistentState, Send, Timing
 from .state import START, Point, at, place
 
 
-class Memory:
+class DurableState:
     """It owns the promise, the record, the copy, and the letters that wait for the disk: of each kind the
     newest for each reader, removed as they are told.
 
-    One `Save` is under way at a time; what changes meanwhile goes with the next, so a hanging disk costs no
-    memory.
+    One `Persist` is under way at a time; what changes meanwhile goes with the next, so a hanging disk costs
+    no memory.
     """
 
-    def __init__(self, timing: Timing, kept: Kept, on_disk: bool) -> None:
+    def __init__(self, timing: Timing, kept: PersistentState, on_disk: bool) -> None:
         self.timing = timing
         self.promised = kept.promised
         self.owner = kept.owner
@@ -32,9 +32,9 @@
         self.synced_record: Point = place(kept.record) if on_disk else START
         self.synced_stamp: Point = at(kept.state) if on_disk else START
         self.synced_copy = kept.copy and on_disk
-        self.saving: tuple[int, Kept] | None = None
+        self.saving: tuple[int, PersistentState] | None = None
         self.retry_at = 0
-        self.waiting: dict[tuple[str, str], tuple[int, CombLetter]] = {}
+        self.waiting: dict[tuple[str, str], tuple[int, ControlMessage]] = {}
 
     def promise(self, epoch: int, owner: str) -> None:
         """:param owner: the candidate of that epoch, or its primary: a majority took another than this one"""
@@ -43,30 +43,30 @@
             self.number += 1
             self.office_number = self.number
 
-    def accept(self, record: CombRecord) -> None:
+    def accept(self, record: ReplicaSet) -> None:
         if place(record) > place(self.record):
             self.record = record
             self.number += 1
             self.office_number = self.number
 
-    def take(self, kept: Kept) -> None:
+    def take(self, kept: PersistentState) -> None:
         """All that a machine recalled which had forgotten."""
         self.promised, self.owner, self.record = kept.promised, kept.owner, kept.record
         self.state, self.copy = kept.state, kept.copy
         self.number += 1
         self.office_number = self.state_number = self.number
 
-    def hold(self, state: CombState) -> None:
+    def hold(self, state: ControlState) -> None:
         self.state, self.copy = state, True
         self.number += 1
         self.state_number = self.number
 
     def drop(self) -> None:
-        self.state, self.copy = CombState(), False
+        self.state, self.copy = ControlState(), False
         self.number += 1
         self.state_number = self.number
 
-    def mend(self, state: CombState | None) -> None:
+    def mend(self, state: ControlState | None) -> None:
         """Danger: what has been written under a later stamp meanwhile must stay.
 
         :param state: None: what lies on the disk is not what is held
@@ -78,20 +78,20 @@
         if self.copy and at(state) == at(self.state):
             self.hold(state)
 
-    def tell(self, to: str, letter: CombLetter, number: int) -> list[Output]:
+    def tell(self, to: str, message: ControlMessage, number: int) -> list[Output]:
         """At once if the contents of that number are on disk, else when they are."""
         if number <= self.synced:
-            return [Tell(to, letter)]
-        self.waiting[to, str(letter.WhichOneof("kind"))] = (number, letter)
+            return [Send(to, message)]
+        self.waiting[to, str(message.WhichOneof("kind"))] = (number, message)
         return []
 
     def work(self, now: int) -> list[Output]:
         """What is to be saved, if anything."""
         if self.saving is not None or self.number == self.synced or now < self.retry_at:
             return []
-        kept = Kept(self.promised, self.state, self.owner, self.record, self.copy)
+        kept = PersistentState(self.promised, self.state, self.owner, self.record, self.copy)
         self.saving = (self.number, kept)
-        return [Save(*self.saving)]
+        return [Persist(*self.saving)]
 
     def saved(self, now: int, token: int, ok: bool) -> list[Output]:
         if self.saving is None or self.saving[0] != token:
@@ -99,8 +99,8 @@
         (number, kept), self.saving = self.saving, None
         if not ok:
             self.retry_at = now + self.timing.retry_us
-            return [Note(Event.STORE_FAILED, {"promised": kept.promised, "stamp": at(kept.state)})]
+            return [LogEvent(Event.STORE_FAILED, {"promised": kept.promised, "stamp": at(kept.state)})]
         self.synced, self.synced_promise, self.synced_record = number, kept.promised, place(kept.record)
         self.synced_stamp, self.synced_copy = at(kept.state), kept.copy
         ready = [key for key, (needed, _) in self.waiting.items() if needed <= number]
-        return [Tell(key[0], self.waiting.pop(key)[1]) for key in ready]
+        return [Send(key[0], self.waiting.pop(key)[1]) for key in ready]
--- a/vetchusher/comb/candidate.py
+++ b/vetchusher/control/election.py
@@ -12,10 +12,10 @@
 
 from enum import Enum, auto
 
-from vetchusher.waggle.wire_pb2 import Ask, CombLetter, CombRecord, Granted
+from vetchusher.distribution.wire_pb2 import ControlMessage, ReplicaSet, VoteReply, VoteRequest
 
-from .acts import Output, Tell, Timing
-from .memory import Memory
+from .durable_state import DurableState
+from .messages import Output, Send, Timing
 from .state import at, enough, newest, point
 
 
@@ -26,11 +26,11 @@
 
 
 class Candidate:
-    """It owns what others answered; bounded by the members known.  `Member` drops it when its time is
+    """It owns what others answered; bounded by the members known.  `Replica` drops it when its time is
     over."""
 
     def __init__(
-        self, timing: Timing, memory: Memory, me: str, tries: int, now: int, released: int = 0
+        self, timing: Timing, memory: DurableState, me: str, tries: int, now: int, released: int = 0
     ) -> None:
         """:param released: an epoch whose primary has handed over to this machine"""
         self.timing = timing
@@ -43,8 +43,8 @@
         self.since = now  # of the stage
         self.epoch = 0
         self.highest = memory.promised  # that anybody promised
-        self.willing: dict[str, Granted] = {}
-        self.granted: dict[str, Granted] = {}
+        self.willing: dict[str, VoteReply] = {}
+        self.granted: dict[str, VoteReply] = {}
         self.unheard: set[str] = set()
         self.asked: set[str] = set()
 
@@ -52,12 +52,12 @@
         """Asks all members what they would say."""
         return self.ask_all(self.memory.record)
 
-    def ask_all(self, record: CombRecord) -> list[Output]:
+    def ask_all(self, record: ReplicaSet) -> list[Output]:
         new = [ip for ip in record.members if ip != self.me and ip not in self.asked]
         self.asked.update(new)
         self.unheard.update(new)
-        ask = Ask(epoch=self.epoch, released=self.released)
-        return [Tell(ip, CombLetter(ask=ask)) for ip in new]
+        ask = VoteRequest(epoch=self.epoch, released=self.released)
+        return [Send(ip, ControlMessage(ask=ask)) for ip in new]
 
     def over(self, now: int) -> bool:
         """Danger: a promise counts no longer than any answer (`primary`), so neither does a candidacy."""
@@ -65,12 +65,12 @@
             return now >= self.since + (self.probe_us if self.unheard else self.timing.probe_us)
         return self.stage is Stage.ASKING and now >= self.since + self.timing.ask_us
 
-    def heard(self, sender: str, answer: Granted) -> list[Output]:
+    def heard(self, sender: str, answer: VoteReply) -> list[Output]:
         self.highest = max(self.highest, answer.promised)
         if sender not in self.asked or answer.epoch != self.epoch:
             return []
         self.unheard.discard(sender)
-        if self.stage is Stage.PROBING and not answer.forgetful and not answer.wait_ms:
+        if self.stage is Stage.PROBING and not answer.amnesiac and not answer.wait_ms:
             self.willing[sender] = answer
         elif self.stage is Stage.ASKING and answer.granted:
             self.granted[sender] = answer
@@ -78,13 +78,13 @@
             return []
         return self.ask_all(self.best(self.answers()))  # it may name members that this machine did not know
 
-    def answers(self) -> dict[str, Granted]:
+    def answers(self) -> dict[str, VoteReply]:
         return self.willing if self.stage is Stage.PROBING else self.granted
 
-    def best(self, answers: dict[str, Granted]) -> CombRecord:
+    def best(self, answers: dict[str, VoteReply]) -> ReplicaSet:
         return newest([self.memory.record, *(a.record for a in answers.values())])
 
-    def stands(self, answers: dict[str, Granted]) -> bool:
+    def stands(self, answers: dict[str, VoteReply]) -> bool:
         """Whether a majority of the members that the newest record names answered, and it names this
         machine's copy.  An older record's members are met on the way there, as members change by one."""
         best = self.best(answers)
--- a/vetchusher/comb/cells.py
+++ b/vetchusher/control/encoding.py
@@ -1,7 +1,7 @@
 """What a machine keeps, as small named rows and the configuration's body.
 
-Each field of `Kept` is a row of its name; of the state the configuration goes apart, in chunks.  A new field
-of `Kept` with a default needs nothing here: folders without its row load with the default.
+Each field of `PersistentState` is a row of its name; the configuration goes apart, in chunks.  A new
+field of `PersistentState` with a default needs nothing here: folders without its row load with the default.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from blake3 import blake3
 from google.protobuf.message import Message
 
-from .acts import Kept
+from .messages import PersistentState
 from .state import changed
 
 STATE = "state"
@@ -23,7 +23,7 @@
 SEAL = "seal"  # over all other rows: one of another save shows
 
 
-def cells_of(kept: Kept) -> tuple[dict[str, bytes], bytes]:
+def cells_of(kept: PersistentState) -> tuple[dict[str, bytes], bytes]:
     """Rows by name, and the body of the configuration."""
     rows = {}
     for field in dataclasses.fields(kept):
@@ -36,14 +36,14 @@
     return rows, body
 
 
-def kept_of(rows: Mapping[str, bytes], body: bytes) -> Kept:
+def kept_of(rows: Mapping[str, bytes], body: bytes) -> PersistentState:
     """:raises ValueError, DecodeError, KeyError, TypeError: rows that no `cells_of` made"""
-    hints = typing.get_type_hints(Kept)
-    names = {field.name for field in dataclasses.fields(Kept)}
+    hints = typing.get_type_hints(PersistentState)
+    names = {field.name for field in dataclasses.fields(PersistentState)}
     found = {name: value_of(hints[name], raw) for name, raw in rows.items() if name in names}
     state = changed(found[STATE])
     state.configuration, state.configuration_left_out = body, False
-    return Kept(**{**found, STATE: state})
+    return PersistentState(**{**found, STATE: state})
 
 
 def raw_of(value: Any) -> bytes:
--- a/vetchusher/comb/formats.py
+++ b/vetchusher/control/formats.py
@@ -7,11 +7,11 @@
 
 from google.protobuf.message import DecodeError
 
-from vetchusher.waggle.wire_pb2 import CombOffice, CombState
+from vetchusher.distribution.wire_pb2 import ControlState, VoterState
 
-from .cells import MANIFEST, SEAL, check_of, raw_of, seal_of
 from .chunks import name_of, split
-from .file import CHUNK, FORMAT, format_of, settle
+from .database_file import CHUNK, FORMAT, format_of, settle
+from .encoding import MANIFEST, SEAL, check_of, raw_of, seal_of
 
 
 def migrated(link: sqlite3.Connection) -> bool:
@@ -56,10 +56,14 @@
     try:
         if {"promised", "state", "configuration"} - rows.keys() or int(rows["promised"]) < 0:
             return False
-        CombState.FromString(rows["state"])
+        ControlState.FromString(rows["state"])
         if "office" in rows:
-            office = CombOffice.FromString(rows.pop("office"))
-            told = {"owner": office.owner, "record": office.record, "copy": office.copy}
+            reconfiguration = VoterState.FromString(rows.pop("office"))
+            told = {
+                "owner": reconfiguration.owner,
+                "record": reconfiguration.record,
+                "copy": reconfiguration.copy,
+            }
             rows |= {name: raw_of(value) for name, value in told.items()}
     except (DecodeError, ValueError):
         return False
--- a/vetchusher/comb/acts.py
+++ b/vetchusher/control/messages.py
@@ -6,9 +6,9 @@
 
 from returns.result import Result
 
-from vetchusher.events import Note
+from vetchusher.distribution.wire_pb2 import ControlMessage, ControlState, ReplicaSet
+from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault
-from vetchusher.waggle.wire_pb2 import CombLetter, CombRecord, CombState
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     :param heard_us: who was heard within it is up
     :param stopped_us: a machine that ran nothing for so long stood still; ticks come ten times as often
     :param regain_us: how long a primary whose lease ran out goes on asking before it gives up its epoch
-    :param courtesy_us: after a promise, no other candidate is encouraged for so long
+    :param candidate_backoff_us: after a promise, no other candidate is encouraged for so long
     :param anew_us: when nobody remembers anything at all: how long to look for somebody before beginning anew
     :param drop_us: a member unheard for so long is left out where that lets the others bear one loss more
     """
@@ -43,7 +43,7 @@
     heard_us: int = 1_000_000
     stopped_us: int = 500_000
     regain_us: int = 300_000
-    courtesy_us: int = 400_000
+    candidate_backoff_us: int = 400_000
     pause_us: int = 200_000
     probe_us: int = 300_000
     ask_us: int = 1_000_000
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
+class PersistentState:
     """What a disk holds.
 
     :param promised: the highest epoch that this machine promised
@@ -70,9 +70,9 @@
     """
 
     promised: int
-    state: CombState
+    state: ControlState
     owner: str = ""
-    record: CombRecord = field(default_factory=CombRecord)
+    record: ReplicaSet = field(default_factory=ReplicaSet)
     copy: bool = True
 
 
@@ -85,15 +85,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class Received:
     sender: str  # ip
     zone: str
-    letter: CombLetter
+    message: ControlMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Saved:
-    """The outcome of a `Save`; `ok`: it is synced."""
+class Persisted:
+    """The outcome of a `Persist`; `ok`: it is synced."""
 
     token: int
     ok: bool
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Submitted:
-    """:param number: the caller's; it comes back in `Done`"""
+    """:param number: the caller's; it comes back in `Completed`"""
 
     number: int
     order: Order
@@ -134,7 +134,7 @@
     """:param state: the copy that belongs to the stamp that this machine holds, which its own was not; None:
     all that is held, as it is, is to be written again"""
 
-    state: CombState | None
+    state: ControlState | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -142,28 +142,28 @@
     """The process is about to end in order: if it leads, another is to lead at once."""
 
 
-Input = Tick | Heard | Saved | Submitted | Mended | Retire
+Input = Tick | Received | Persisted | Submitted | Mended | Retire
 
 
 # -- outputs ---------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class Send:
     to: str  # ip
-    letter: CombLetter
+    message: ControlMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Save:
-    """To be synced, in order, and answered by `Saved`.  There is never more than one unanswered."""
+class Persist:
+    """To be synced, in order, and answered by `Persisted`.  There is never more than one unanswered."""
 
     token: int
-    kept: Kept
+    kept: PersistentState
 
 
 @dataclass(slots=True, frozen=True)
-class Done:
+class Completed:
     """:param outcome: for `Retrieve` the configuration's bytes as sent; else nothing.  NOT_SETTLED: it may
     come to be in force or not"""
 
@@ -173,9 +173,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """`Member.committed` has grown to this."""
+    """`Replica.committed` has grown to this."""
 
-    state: CombState
+    state: ControlState
 
 
-Output = Tell | Save | Done | Committed | Note
+Output = Send | Persist | Completed | Committed | LogEvent
--- a/vetchusher/comb/primary.py
+++ b/vetchusher/control/primary.py
@@ -11,24 +11,24 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.events import Event, Note
-from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle.wire_pb2 import (
-    CombLetter,
-    CombRecord,
-    CombState,
+from vetchusher.distribution.wire_pb2 import (
+    ControlMessage,
+    ControlState,
     Drop,
-    Renew,
-    Renewed,
+    LeaseRenewal,
+    LeaseRenewalReply,
+    ReplicaSet,
     Stamp,
     Write,
-    Written,
+    WriteReply,
 )
+from vetchusher.events import Event, LogEvent
+from vetchusher.kinds import Fault, Kind
 
-from .acts import Committed, Done, Order, Output, Replace, Retrieve, Submitted, Tell, Timing
-from .backups import Backup, Backups, Fellows
-from .memory import Memory
-from .office import Office
+from .durable_state import DurableState
+from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
+from .progress import Peers, ProgressTracker, ReplicaProgress
+from .reconfiguration import Reconfiguration
 from .state import START, Point, at, changed, ordered, stamp, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
@@ -49,10 +49,10 @@
     def __init__(
         self,
         timing: Timing,
-        memory: Memory,
-        fellows: Fellows,
+        memory: DurableState,
+        peers: Peers,
         epoch: int,
-        found: CombRecord,
+        found: ReplicaSet,
         losses: int,
         first_round: int,
         now: int,
@@ -60,14 +60,14 @@
         """:param found: the newest record that the promises told"""
         self.timing = timing
         self.memory = memory
-        self.fellows = fellows
+        self.peers = peers
         self.epoch = epoch
         self.began = now
         self.renewed_at = now - timing.renew_us
-        self.backups = Backups(timing, fellows, first_round)
-        self.office = Office(memory, self.backups, epoch, found, losses, now)
+        self.progress = ProgressTracker(timing, peers, first_round)
+        self.reconfiguration = Reconfiguration(memory, self.progress, epoch, found, losses, now)
         self.whole_from: Point = START  # when this epoch first wrote the configuration that it holds
-        self.committed: CombState | None = None
+        self.committed: ControlState | None = None
         self.write_began: int | None = None
         self.wrote_at = now
         self.writing: list[tuple[Waiting, Result[bytes, Fault]]] = []
@@ -79,7 +79,7 @@
     # -- the lease -----------------------------------------------------------------------------
 
     def leads(self, now: int) -> bool:
-        return now < self.office.lease_until(now)
+        return now < self.reconfiguration.lease_until(now)
 
     def holds(self, now: int) -> bool:
         return self.committed is not None and self.leads(now)
@@ -99,15 +99,17 @@
 
     def renew(self, now: int) -> list[Output]:
         self.renewed_at = now
-        round_ = self.backups.next_round(now)
-        renew = Renew(epoch=self.epoch, round=round_, committed=self.told(now), record=self.office.newest())
-        letter = CombLetter(renew=renew)
-        readers = [*self.office.everybody(), *self.backups.learners]
-        return [Tell(ip, letter) for ip in readers] + self.drop(now)
-
-    def renewed(self, sender: str, answer: Renewed) -> None:
+        round_ = self.progress.next_round(now)
+        renew = LeaseRenewal(
+            epoch=self.epoch, round=round_, committed=self.told(now), record=self.reconfiguration.newest()
+        )
+        message = ControlMessage(renew=renew)
+        readers = [*self.reconfiguration.everybody(), *self.progress.learners]
+        return [Send(ip, message) for ip in readers] + self.drop(now)
+
+    def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
         if answer.epoch == self.epoch:
-            self.backups.renewed(sender, answer)
+            self.progress.renewed(sender, answer)
 
     def told(self, now: int) -> Stamp | None:
         """What is committed; without the lease nothing is said to be in force."""
@@ -115,7 +117,7 @@
 
     # -- writes --------------------------------------------------------------------------------
 
-    def write(self, now: int, state: CombState) -> list[Output]:
+    def write(self, now: int, state: ControlState) -> list[Output]:
         before = self.memory.state
         state = changed(state, (self.epoch, state.stamp.seq + 1))
         first_write = self.committed is None and self.write_began is None
@@ -128,27 +130,27 @@
     def taught(self, now: int) -> set[str]:
         """Who gets every write: the copies, and those that are to become copies."""
         # A late one in another zone: it holds a copy again as soon as it has shown that it can.
-        late = {ip for ip in self.office.members if self.away(ip) and self.backups.rests(now, ip)}
-        return (self.office.copies() | self.office.wanted(now) | late) - {self.fellows.me}
+        late = {ip for ip in self.reconfiguration.members if self.away(ip) and self.progress.rests(now, ip)}
+        return (self.reconfiguration.copies() | self.reconfiguration.wanted(now) | late) - {self.peers.me}
 
     def away(self, ip: str) -> bool:
         """Whether it lies in another zone."""
-        return self.fellows.apart({ip, self.fellows.me})
+        return self.peers.apart({ip, self.peers.me})
 
     def teach(self, now: int) -> list[Output]:
         out: list[Output] = []
         newest = at(self.memory.state)
         for ip in sorted(self.taught(now)):
-            backup = self.backups.member(ip)
-            if backup.copy >= newest or backup.forgetful:
+            backup = self.progress.member(ip)
+            if backup.copy >= newest or backup.amnesiac:
                 continue
             if backup.wrote != newest or (
-                now >= backup.last_at + backup.pause and self.backups.heard(now, ip)
+                now >= backup.last_at + backup.pause and self.progress.heard(now, ip)
             ):
                 out += self.send(now, ip, backup)
         return out
 
-    def send(self, now: int, ip: str, backup: Backup) -> list[Output]:
+    def send(self, now: int, ip: str, backup: ReplicaProgress) -> list[Output]:
         state = self.memory.state
         if backup.wrote == at(state):
             backup.pause = min(2 * backup.pause, self.timing.resend_most_us)
@@ -157,22 +159,22 @@
         backup.last_at = now
         if backup.copy >= self.whole_from and state.version:
             state = without_configuration(state)
-        life = self.fellows.lives.get(ip, 0)
+        life = self.peers.lives.get(ip, 0)
         write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life)
-        return [Tell(ip, CombLetter(write=write))]
+        return [Send(ip, ControlMessage(write=write))]
 
-    def written(self, now: int, sender: str, answer: Written) -> list[Output]:
-        backup = self.backups.known(sender)
+    def written(self, now: int, sender: str, answer: WriteReply) -> list[Output]:
+        backup = self.progress.known(sender)
         if backup is None or answer.epoch != self.epoch:
             return []
         if answer.need_whole:
             backup.copy = START
             return self.send(now, sender, backup)
-        self.backups.written(sender, answer)
+        self.progress.written(sender, answer)
         return []
 
     def reborn(self, ip: str) -> None:
-        backup = self.backups.known(ip)
+        backup = self.progress.known(ip)
         if backup is not None:
             backup.reborn()
 
@@ -183,9 +185,9 @@
     def mark_late(self, now: int) -> None:
         """Danger: one that stalls again and again must not hold up a write each time."""
         newest = at(self.memory.state)
-        copies = self.office.copies()
+        copies = self.reconfiguration.copies()
         for ip in self.taught(now):
-            backup = self.backups.member(ip)
+            backup = self.progress.member(ip)
             if backup.wrote != newest or backup.copy >= newest:
                 continue
             # Danger: without the copy in another zone that zone's loss is more than is borne.
@@ -205,8 +207,8 @@
 
     def best_heir(self, now: int) -> str:
         """Of the copies, the one with the newest state."""
-        others = [ip for ip in self.office.record.copies if ip != self.fellows.me]
-        known = [(self.backups.copy(now, ip), ip) for ip in others if self.backups.well(now, ip)]
+        others = [ip for ip in self.reconfiguration.record.copies if ip != self.peers.me]
+        known = [(self.progress.copy(now, ip), ip) for ip in others if self.progress.well(now, ip)]
         found = max(known, default=(START, ""))
         return found[1] if found[0] > START else ""
 
@@ -216,14 +218,21 @@
         """Lets the record stand and commits the write under way if it may be, then begins what comes next,
         and answers what can be answered."""
         out: list[Output] = []
-        before = set(self.office.record.members)
-        if self.office.settle(now):
-            for ip in set(self.office.record.members) - before:
-                out.append(Note(Event.MEMBER_JOINED, {"member": ip, "members": len(self.office.members)}))
-            facts = {"copies": ",".join(self.office.record.copies), "number": self.office.record.number}
-            out.append(Note(Event.COPIES_HELD, {"epoch": self.epoch} | facts))
+        before = set(self.reconfiguration.record.members)
+        if self.reconfiguration.settle(now):
+            for ip in set(self.reconfiguration.record.members) - before:
+                out.append(
+                    LogEvent(
+                        Event.MEMBER_JOINED, {"member": ip, "members": len(self.reconfiguration.members)}
+                    )
+                )
+            facts = {
+                "copies": ",".join(self.reconfiguration.record.copies),
+                "number": self.reconfiguration.record.number,
+            }
+            out.append(LogEvent(Event.COPIES_HELD, {"epoch": self.epoch} | facts))
         self.mark_late(now)
-        if self.office.proposed is None and self.propose(now):
+        if self.reconfiguration.proposed is None and self.propose(now):
             out += self.renew(now)
         if self.write_began is not None and self.settled(now, self.write_began):
             out += self.commit(now)
@@ -235,31 +244,35 @@
 
     def propose(self, now: int) -> bool:
         """Whether the next record was proposed: other copies, or other members."""
-        office = self.office
-        wanted = office.wanted(now)
+        reconfiguration = self.reconfiguration
+        wanted = reconfiguration.wanted(now)
         since = at(self.committed or self.memory.state)
-        if wanted != set(office.record.copies) or not office.standing:
-            if not all(office.whole(now, ip, since) for ip in wanted):
+        if wanted != set(reconfiguration.record.copies) or not reconfiguration.standing:
+            if not all(reconfiguration.whole(now, ip, since) for ip in wanted):
                 return False
-            office.propose(wanted, office.members)
+            reconfiguration.propose(wanted, reconfiguration.members)
             return True
-        members = office.next_members(now, self.began) if self.committed is not None else None
+        members = reconfiguration.next_members(now, self.began) if self.committed is not None else None
         if members is not None:
-            office.propose(wanted, members)
+            reconfiguration.propose(wanted, members)
         return members is not None
 
     def settled(self, now: int, began: int) -> bool:
-        office, newest = self.office, at(self.memory.state)
-        if not office.standing or not all(office.whole(now, ip, newest) for ip in office.copies()):
+        reconfiguration, newest = self.reconfiguration, at(self.memory.state)
+        if not reconfiguration.standing or not all(
+            reconfiguration.whole(now, ip, newest) for ip in reconfiguration.copies()
+        ):
             return False
         # Copies in another zone are on their way: a zone may be lost right after the answer.
-        coming = self.fellows.apart(office.wanted(now)) and not self.fellows.apart(set(office.record.copies))
+        coming = self.peers.apart(reconfiguration.wanted(now)) and not self.peers.apart(
+            set(reconfiguration.record.copies)
+        )
         return not coming or now >= began + self.timing.other_zone_us
 
     def commit(self, now: int) -> list[Output]:
         self.committed, self.write_began = self.memory.state, None
         facts = {"stamp": at(self.committed), "version": self.committed.version}
-        return [Committed(self.committed), Note(Event.STATE_COMMITTED, facts), *self.renew(now)]
+        return [Committed(self.committed), LogEvent(Event.STATE_COMMITTED, facts), *self.renew(now)]
 
     def next_write(self, now: int) -> list[Output]:
         """All orders that wait go into one write."""
@@ -269,7 +282,7 @@
         for waiting in batch:
             order = waiting.order
             if ordered(held, order).value_or(None) is held and (state is held or isinstance(order, Replace)):
-                done.append(Done(waiting.number, Success(b"")))  # it relies on nothing that is under way
+                done.append(Completed(waiting.number, Success(b"")))  # it relies on nothing that is under way
                 continue
             after = ordered(state, order)
             state = after.value_or(state)
@@ -281,31 +294,31 @@
     # -- copies that are needed no more --------------------------------------------------------
 
     def drop(self, now: int) -> list[Output]:
-        office = self.office
-        if not office.standing or office.proposed is not None or self.committed is None:
+        reconfiguration = self.reconfiguration
+        if not reconfiguration.standing or reconfiguration.proposed is not None or self.committed is None:
             return []
-        if now < office.changed_at + self.timing.drop_copy_us:
+        if now < reconfiguration.changed_at + self.timing.drop_copy_us:
             return []
         # Danger: what is being written now may be needed there yet.
         keep, upto = self.taught(now), at(self.committed)
         out: list[Output] = []
-        for ip in office.everybody():
-            backup = self.backups.member(ip)
+        for ip in reconfiguration.everybody():
+            backup = self.progress.member(ip)
             if ip not in keep and backup.holds:
                 backup.dropped, backup.holds, backup.copy = upto, False, START
-                out.append(Tell(ip, CombLetter(drop=Drop(epoch=self.epoch, stamp=stamp(upto)))))
+                out.append(Send(ip, ControlMessage(drop=Drop(epoch=self.epoch, stamp=stamp(upto)))))
         return out
 
     def dropped(self, now: int) -> bool:
         """Whether one is to hold a copy again that was told to drop this very state: it counts under a later
         stamp only, as the order to drop may be late."""
-        return any(self.backups.member(ip).dropped >= at(self.memory.state) for ip in self.taught(now))
+        return any(self.progress.member(ip).dropped >= at(self.memory.state) for ip in self.taught(now))
 
     # -- orders --------------------------------------------------------------------------------
 
     def submit(self, now: int, asked: Submitted) -> list[Output]:
         if len(self.waiting) + len(self.writing) + len(self.reading) >= MOST_ORDERS:
-            return [Done(asked.number, Failure(Fault(Kind.NOT_SETTLED, "too many orders wait")))]
+            return [Completed(asked.number, Failure(Fault(Kind.NOT_SETTLED, "too many orders wait")))]
         queue = self.reading if isinstance(asked.order, Retrieve) else self.waiting
         queue.append(Waiting(asked.number, asked.order, now + self.timing.order_us))
         return []
@@ -314,10 +327,10 @@
         """What a settled write carries, what is to be read, and what waited too long."""
         out: list[Output] = []
         if self.holds(now):
-            out += [Done(w.number, self.read()) for w in self.reading]
+            out += [Completed(w.number, self.read()) for w in self.reading]
             self.reading = []
             if self.write_began is None:
-                out += [Done(w.number, outcome) for w, outcome in self.writing]
+                out += [Completed(w.number, outcome) for w, outcome in self.writing]
                 self.writing = []
         late = [w for w in self.all_waiting() if now >= w.until]
         if late:
@@ -342,12 +355,12 @@
     # -- machines that ask to join -------------------------------------------------------------
 
     def join(self, now: int, ip: str) -> None:
-        if ip in self.office.members or ip in self.office.everybody():
+        if ip in self.reconfiguration.members or ip in self.reconfiguration.everybody():
             return
-        if ip in self.backups.learners or len(self.backups.learners) < MOST_LEARNERS:
-            self.backups.members.pop(ip, None)
-            self.backups.learners.setdefault(ip, Backup()).joined_at = now
+        if ip in self.progress.learners or len(self.progress.learners) < MOST_LEARNERS:
+            self.progress.members.pop(ip, None)
+            self.progress.learners.setdefault(ip, ReplicaProgress()).joined_at = now
 
 
 def unsettled(waiting: Iterable[Waiting], text: str) -> list[Output]:
-    return [Done(w.number, Failure(Fault(Kind.NOT_SETTLED, text))) for w in waiting]
+    return [Completed(w.number, Failure(Fault(Kind.NOT_SETTLED, text))) for w in waiting]
--- a/vetchusher/comb/backups.py
+++ b/vetchusher/control/progress.py
@@ -9,18 +9,18 @@
 
 from dataclasses import dataclass, field
 
-from vetchusher.waggle.wire_pb2 import Renewed, Written
+from vetchusher.distribution.wire_pb2 import LeaseRenewalReply, WriteReply
 
-from .acts import Timing
+from .messages import Timing
 from .state import START, Point, point
 
 ROUNDS = 16  # renewals whose answers can still count
 
 
 @dataclass(slots=True)
-class Fellows:
+class Peers:
     """Who was heard when, from which zone, the life of its process, and who is about to end.  Bounded:
-    `Member` forgets the one longest unheard."""
+    `Replica` forgets the one longest unheard."""
 
     me: str
     zones: dict[str, str] = field(default_factory=dict)
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Backup:
+class ReplicaProgress:
     """:param copy: stamp of the copy that it has synced, as last told; it counts until `copy_until`
     :param holds: it said that it has a copy on its disk, new or old
     :param dropped: stamp up to which it was told to drop its copy; none such counts
@@ -50,7 +50,7 @@
     record: Point = START
     lease_until: int = 0
     round: int = 0
-    forgetful: bool = False
+    amnesiac: bool = False
     wrote: Point = START
     first_at: int = 0
     last_at: int = 0
@@ -61,31 +61,31 @@
     def reborn(self) -> None:
         """Another process speaks: what it has on its disk it is to say anew."""
         self.copy = self.wrote = self.record = START
-        self.forgetful = False
+        self.amnesiac = False
 
 
-class Backups:
+class ProgressTracker:
     """It owns the members' and the learners' words (learners that stop asking are dropped), and when each
     renewal was sent."""
 
-    def __init__(self, timing: Timing, fellows: Fellows, first_round: int) -> None:
+    def __init__(self, timing: Timing, peers: Peers, first_round: int) -> None:
         self.timing = timing
-        self.fellows = fellows
+        self.peers = peers
         self.round = first_round
         self.rounds: dict[int, int] = {}  # sent when
-        self.members: dict[str, Backup] = {}
-        self.learners: dict[str, Backup] = {}
+        self.members: dict[str, ReplicaProgress] = {}
+        self.learners: dict[str, ReplicaProgress] = {}
 
-    def member(self, ip: str) -> Backup:
-        return self.members.setdefault(ip, Backup())
+    def member(self, ip: str) -> ReplicaProgress:
+        return self.members.setdefault(ip, ReplicaProgress())
 
-    def known(self, ip: str) -> Backup | None:
+    def known(self, ip: str) -> ReplicaProgress | None:
         return self.members.get(ip) or self.learners.get(ip)
 
     def heard(self, now: int, ip: str) -> bool:
         return (
-            ip == self.fellows.me
-            or now < self.fellows.heard_at.get(ip, now - self.timing.heard_us) + self.timing.heard_us
+            ip == self.peers.me
+            or now < self.peers.heard_at.get(ip, now - self.timing.heard_us) + self.timing.heard_us
         )
 
     def next_round(self, now: int) -> int:
@@ -94,12 +94,12 @@
         self.rounds.pop(self.round - ROUNDS, None)
         return self.round
 
-    def renewed(self, sender: str, answer: Renewed) -> None:
+    def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
         backup, sent = self.known(sender), self.rounds.get(answer.round)
         if backup is None or sent is None or answer.round <= backup.round:
             return
         backup.round = answer.round
-        backup.forgetful = answer.forgetful
+        backup.amnesiac = answer.amnesiac
         if answer.accepted:
             backup.lease_until = backup.copy_until = sent + self.timing.held_us
         # It may be less than it was: the newest word counts.
@@ -108,7 +108,7 @@
         backup.copy = told if backup.holds and told > backup.dropped else START
         backup.record = point(answer.record) if answer.accepted else START
 
-    def written(self, sender: str, answer: Written) -> None:
+    def written(self, sender: str, answer: WriteReply) -> None:
         backup = self.known(sender)
         if backup is None or not answer.accepted or backup.wrote <= backup.dropped:
             return
@@ -133,10 +133,10 @@
 
     def well(self, now: int, ip: str) -> bool:
         """Whether it may be chosen to hold a copy."""
-        if ip == self.fellows.me:
+        if ip == self.peers.me:
             return True
         backup = self.member(ip)
-        ready = not backup.forgetful and ip not in self.fellows.leaving
+        ready = not backup.amnesiac and ip not in self.peers.leaving
         return ready and self.heard(now, ip) and now >= backup.rested_until
 
     def forget_learners(self, now: int) -> None:
--- a/vetchusher/comb/office.py
+++ b/vetchusher/control/reconfiguration.py
@@ -9,28 +9,34 @@
 
 from collections.abc import Sequence
 
-from vetchusher.waggle.wire_pb2 import CombRecord
+from vetchusher.distribution.wire_pb2 import ReplicaSet
 
-from .backups import Backups
-from .memory import Memory
+from .durable_state import DurableState
+from .progress import ProgressTracker
 from .state import Point, copies_needed, enough, majority, place
 
 
-class Office:
+class Reconfiguration:
     """It owns the record that stands (before the first of its epoch: the one that was found), and the one
     proposed."""
 
     def __init__(
-        self, memory: Memory, backups: Backups, epoch: int, found: CombRecord, losses: int, now: int
+        self,
+        memory: DurableState,
+        progress: ProgressTracker,
+        epoch: int,
+        found: ReplicaSet,
+        losses: int,
+        now: int,
     ) -> None:
         """:param losses: how many machines may be lost at a time"""
         self.memory = memory
-        self.backups = backups
-        self.me = backups.fellows.me
+        self.progress = progress
+        self.me = progress.peers.me
         self.epoch = epoch
         self.losses = losses
         self.record = found
-        self.proposed: CombRecord | None = None
+        self.proposed: ReplicaSet | None = None
         self.changed_at = now
 
     @property
@@ -55,16 +61,16 @@
         standing = self.record.copies if self.standing else ()
         return {*standing, *(self.proposed.copies if self.proposed else ())}
 
-    def newest(self) -> CombRecord | None:
+    def newest(self) -> ReplicaSet | None:
         """Of this epoch."""
         return self.proposed or (self.record if self.standing else None)
 
     def lease_until(self, now: int) -> int:
         """Until when a majority of the members promises no other epoch; this machine is one of them."""
-        held = now + self.backups.timing.held_us
+        held = now + self.progress.timing.held_us
         ends = []
         for members in self.electorates():
-            leases = [self.backups.member(ip).lease_until if ip != self.me else held for ip in members]
+            leases = [self.progress.member(ip).lease_until if ip != self.me else held for ip in members]
             ends.append(sorted(leases, reverse=True)[majority(len(members)) - 1])
         return min(ends)
 
@@ -73,7 +79,7 @@
         if self.proposed is None:
             return False
         wanted = place(self.proposed)
-        holders = {ip for ip in self.everybody() if self.backups.record(now, ip) >= wanted}
+        holders = {ip for ip in self.everybody() if self.progress.record(now, ip) >= wanted}
         if self.memory.synced_record >= wanted:
             holders.add(self.me)
         if not all(enough(members, holders) for members in self.electorates()):
@@ -83,7 +89,7 @@
 
     def propose(self, copies: set[str], members: Sequence[str]) -> None:
         number = self.record.number + 1 if self.standing else 1
-        self.proposed = CombRecord(
+        self.proposed = ReplicaSet(
             epoch=self.epoch, number=number, primary=self.me, copies=sorted(copies), members=sorted(members)
         )
         self.memory.accept(self.proposed)
@@ -96,11 +102,11 @@
         members, holding = self.members, self.record.copies
         size = self.size(now)
         well = sorted(
-            (ip for ip in members if self.backups.well(now, ip)),
+            (ip for ip in members if self.progress.well(now, ip)),
             key=lambda ip: (ip != self.me, ip not in holding, ip),
         )
         chosen = well[:size]
-        zones = self.backups.fellows.zones
+        zones = self.progress.peers.zones
         elsewhere = [ip for ip in well if zones.get(ip) != zones.get(self.me)]
         if elsewhere and len(chosen) > 1 and not set(chosen) & set(elsewhere):
             chosen[-1] = elsewhere[0]
@@ -114,26 +120,26 @@
 
     def ready(self, now: int) -> list[str]:
         """Learners that have the record on disk, and may become members."""
-        learners = self.backups.learners.items()
+        learners = self.progress.learners.items()
         return [
             ip
             for ip, x in learners
-            if now < x.lease_until and x.record >= place(self.record) and not x.forgetful
+            if now < x.lease_until and x.record >= place(self.record) and not x.amnesiac
         ]
 
     def next_members(self, now: int, began: int) -> list[str] | None:
         """One more, or one less; None: as they are."""
         ready = self.ready(now)
         if ready and len(self.record.copies) >= self.size(now):
-            self.backups.members[ready[0]] = self.backups.learners.pop(ready[0])
+            self.progress.members[ready[0]] = self.progress.learners.pop(ready[0])
             return [*self.members, ready[0]]
         return self.without_lost(now, began)
 
     def without_lost(self, now: int, began: int) -> list[str] | None:
         """Without the member longest lost, if those who are left could not bear one more loss otherwise."""
-        members, heard_at = self.members, self.backups.fellows.heard_at
+        members, heard_at = self.members, self.progress.peers.heard_at
         since = {ip: max(began, heard_at.get(ip, 0)) for ip in members if ip != self.me}
-        lost = [ip for ip, at_ in since.items() if now >= at_ + self.backups.timing.drop_us]
+        lost = [ip for ip, at_ in since.items() if now >= at_ + self.progress.timing.drop_us]
         if not lost or len(members) <= 3 or len(members) - len(lost) > majority(len(members)):
             return None
         longest = min(lost, key=since.__getitem__)
@@ -145,4 +151,4 @@
         """Whether that machine's disk has a copy not older than that."""
         if ip == self.me:
             return self.memory.synced_copy and self.memory.synced_stamp >= since
-        return self.backups.copy(now, ip) >= since
+        return self.progress.copy(now, ip) >= since
--- a/vetchusher/comb/repair.py
+++ b/vetchusher/control/repair.py
@@ -14,11 +14,19 @@
 import random
 from dataclasses import dataclass, field
 
-from vetchusher.events import Event, Note
-from vetchusher.waggle.wire_pb2 import CombLetter, Compare, Compared, RangeDigest, Row, RowsAsked, RowsTold
+from vetchusher.distribution.wire_pb2 import (
+    Compare,
+    Compared,
+    ControlMessage,
+    RangeDigest,
+    Row,
+    RowsAsked,
+    RowsTold,
+)
+from vetchusher.events import Event, LogEvent
 
-from .acts import Heard, Tell
 from .digests import DEPTH, LEAVES
+from .messages import Received, Send
 from .state import START, Point, point, stamp
 from .store import Copy, Scanned
 
@@ -41,7 +49,7 @@
     patience_us: int = 3_000_000
 
 
-# -- inputs, beside `Heard` ------------------------------------------------------------------------
+# -- inputs, beside `Received` ------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
@@ -73,7 +81,7 @@
     rows: dict[str, bytes] | None
 
 
-# -- outputs, beside `Tell` and `Note` -------------------------------------------------------------
+# -- outputs, beside `Send` and `LogEvent` -------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,8 +115,8 @@
     root: bytes
 
 
-Input = Look | Heard | Scanned | Fetched
-Output = Tell | Note | Scan | Fetch | Rewrite | Mend
+Input = Look | Received | Scanned | Fetched
+Output = Send | LogEvent | Scan | Fetch | Rewrite | Mend
 
 
 @dataclass(slots=True)
@@ -151,7 +159,7 @@
                 return self.scanned(now, event)
             case Fetched():
                 return self.fetched(event)
-            case Heard():
+            case Received():
                 return self.heard(now, event)
 
     # -- time ----------------------------------------------------------------------------------
@@ -162,7 +170,7 @@
         copy = look.copy
         if look.written is not None and self.doubted is not None and look.written > self.doubted:
             self.doubted = None
-            out.append(Note(Event.ROWS_MENDED, {"written": look.written}))
+            out.append(LogEvent(Event.ROWS_MENDED, {"written": look.written}))
         if self.round is not None and now >= self.round.until:
             self.round = None
         if look.written is not None and not self.scanning and now >= self.scan_at:
@@ -186,27 +194,27 @@
             return []
         self.doubted = self.look.written
         self.compare_at = now  # what is written again is compared with the primary's at once
-        return [Note(Event.ROWS_SPOILT, {"rows": "; ".join(found.bad)}), Rewrite()]
+        return [LogEvent(Event.ROWS_SPOILT, {"rows": "; ".join(found.bad)}), Rewrite()]
 
     # -- asking --------------------------------------------------------------------------------
 
-    def ask(self, round_: Round, ranges: tuple[int, ...]) -> Tell:
-        letter = Compare(round=round_.number, stamp=stamp(round_.at), level=round_.level, ranges=ranges)
-        return Tell(round_.other, CombLetter(compare=letter))
+    def ask(self, round_: Round, ranges: tuple[int, ...]) -> Send:
+        message = Compare(round=round_.number, stamp=stamp(round_.at), level=round_.level, ranges=ranges)
+        return Send(round_.other, ControlMessage(compare=message))
 
-    def heard(self, now: int, event: Heard) -> list[Output]:
-        letter, sender = event.letter, event.sender
-        match letter.WhichOneof("kind"):
+    def heard(self, now: int, event: Received) -> list[Output]:
+        message, sender = event.message, event.sender
+        match message.WhichOneof("kind"):
             case "compare":
-                return [self.answer(sender, letter.compare)]
+                return [self.answer(sender, message.compare)]
             case "rows_asked":
-                asked = letter.rows_asked
+                asked = message.rows_asked
                 leaves = tuple(leaf for leaf in asked.leaves[:BATCH] if leaf < LEAVES)
                 return [Fetch(sender, asked.round, point(asked.stamp), leaves)]
             case "compared":
-                return self.compared(now, sender, letter.compared)
+                return self.compared(now, sender, message.compared)
             case "rows_told":
-                return self.rows_told(now, sender, letter.rows_told)
+                return self.rows_told(now, sender, message.rows_told)
         return []
 
     def under_way(self, sender: str, number: int, at: Point) -> tuple[Round, Copy] | None:
@@ -236,7 +244,7 @@
             return []
         out: list[Output] = []
         if round_.level == 0:
-            out.append(Note(Event.COPIES_DIFFER, {"with": sender, "stamp": copy.stamp}))
+            out.append(LogEvent(Event.COPIES_DIFFER, {"with": sender, "stamp": copy.stamp}))
         round_.until = now + self.pace.patience_us
         if round_.level < DEPTH:
             round_.level += 1
@@ -248,10 +256,10 @@
         """Both are as they were written: the one that is committed is right, or nobody knows."""
         return answer.sound and answer.committed
 
-    def ask_rows(self, round_: Round) -> Tell:
+    def ask_rows(self, round_: Round) -> Send:
         leaves = round_.leaves[round_.told : round_.told + BATCH]
         asked = RowsAsked(round=round_.number, stamp=stamp(round_.at), leaves=leaves)
-        return Tell(round_.other, CombLetter(rows_asked=asked))
+        return Send(round_.other, ControlMessage(rows_asked=asked))
 
     def rows_told(self, now: int, sender: str, told: RowsTold) -> list[Output]:
         found = self.under_way(sender, told.round, point(told.stamp))
@@ -271,7 +279,7 @@
 
     # -- answering -----------------------------------------------------------------------------
 
-    def answer(self, sender: str, asked: Compare) -> Tell:
+    def answer(self, sender: str, asked: Compare) -> Send:
         copy = self.look.copy
         answer = Compared(round=asked.round, level=asked.level, sound=self.sound)
         if copy is not None:
@@ -280,11 +288,11 @@
             if copy.stamp == point(asked.stamp):
                 told = copy.tree.told(asked.level, asked.ranges[:LEAVES])
                 answer.ranges.extend(RangeDigest(range=n, digest=value) for n, value in told.items())
-        return Tell(sender, CombLetter(compared=answer))
+        return Send(sender, ControlMessage(compared=answer))
 
     def fetched(self, found: Fetched) -> list[Output]:
         fetch, rows = found.fetch, found.rows
         told = RowsTold(round=fetch.round, stamp=stamp(fetch.at), whole=rows is not None and self.sound)
         if rows is not None and self.sound:
             told.rows.extend(Row(key=key, value=value) for key, value in rows.items())
-        return [Tell(fetch.to, CombLetter(rows_told=told))]
+        return [Send(fetch.to, ControlMessage(rows_told=told))]
--- a/vetchusher/comb/member.py
+++ b/vetchusher/control/replica.py
@@ -12,37 +12,49 @@
 
 from returns.result import Failure
 
-from vetchusher.events import Event
-from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle.wire_pb2 import (
-    CombLetter,
-    CombRecord,
-    CombState,
-    Granted,
+from vetchusher.distribution.wire_pb2 import (
+    ControlMessage,
+    ControlState,
     Join,
-    Recall,
-    Recalled,
-    Release,
-    Renewed,
-    Written,
+    LeadershipTransfer,
+    LeaseRenewalReply,
+    RecoveryReply,
+    RecoveryRequest,
+    ReplicaSet,
+    VoteReply,
+    WriteReply,
 )
+from vetchusher.events import Event
+from vetchusher.kinds import Fault, Kind
 
-from .acts import Done, Heard, Input, Kept, Mended, Output, Retire, Saved, Submitted, Tell, Timing
-from .backups import Fellows
-from .candidate import Candidate
-from .memory import Memory
+from .amnesia import AmnesiaRecovery
+from .durable_state import DurableState
+from .election import Candidate
+from .messages import (
+    Completed,
+    Input,
+    Mended,
+    Output,
+    Persisted,
+    PersistentState,
+    Received,
+    Retire,
+    Send,
+    Submitted,
+    Timing,
+)
 from .primary import Primary
-from .recall import Recalling
+from .progress import Peers
 from .state import Point, at, first_record, first_state, place
 from .voter import Voter
 from .witness import Witness
 
-MOST_FELLOWS = 64
+MAX_PEERS = 64
 
-__all__ = ["Kept", "Member", "Timing"]
+__all__ = ["PersistentState", "Replica", "Timing"]
 
 
-class Member(Witness):
+class Replica(Witness):
     """:param me: this machine's ip
     :param seeds: ips of the machines that it was told of at its start; at the very first start the members
     :param first_start: the system has never run
@@ -58,12 +70,12 @@
         zone: str,
         seeds: Sequence[str],
         first_start: bool,
-        kept: Kept | None,
+        kept: PersistentState | None,
         timing: Timing,
         rng: random.Random,
         now: int,
         losses: int = 1,
-        floor: Kept | None = None,
+        floor: PersistentState | None = None,
     ) -> None:
         self.me = me
         self.seeds = tuple(seeds)
@@ -71,12 +83,14 @@
         self.rng = rng
         fresh = kept is None and first_start and floor is None
         self.losses = losses
-        self.fellows = Fellows(me, {me: zone})
-        found = kept or Kept(0, first_state(), record=first_record(seeds), copy=fresh)
+        self.peers = Peers(me, {me: zone})
+        found = kept or PersistentState(0, first_state(), record=first_record(seeds), copy=fresh)
         if not found.record.members:  # a disk of the first format: all members held copies
             found = replace(found, record=first_record(found.state.members))
-        memory = Memory(timing, found, on_disk=kept is not None or not fresh)
-        self.recalling = None if kept is not None or fresh else Recalling(timing, me, seeds, rng, now, floor)
+        memory = DurableState(timing, found, on_disk=kept is not None or not fresh)
+        self.recovery = (
+            None if kept is not None or fresh else AmnesiaRecovery(timing, me, seeds, rng, now, floor)
+        )
         self.remembering = False  # what was recalled is on its way to the disk
         voter = Voter(timing, memory, now if fresh else now + timing.lease_us, now)
         super().__init__(memory, voter, rng.randrange(1, 1 << 63), now)
@@ -87,8 +101,8 @@
         self.joined_at = now
         self.retired = False
         self.ran_at = now  # last
-        if self.recalling:
-            self.note(Event.FORGETFUL)
+        if self.recovery:
+            self.note(Event.AMNESIAC)
 
     # -- what others may ask -------------------------------------------------------------------
 
@@ -108,14 +122,14 @@
         return self.agreed[0] <= (at(self._committed) if told is None else told)
 
     @property
-    def committed(self) -> CombState:
+    def committed(self) -> ControlState:
         """What this machine's copy has that may be told to ingresses; only ever grows in stamp."""
         return self._committed
 
     @property
-    def held(self) -> CombState | None:
+    def held(self) -> ControlState | None:
         """This machine's copy, committed or not; None: it has none."""
-        return self.memory.state if self.memory.copy and not self.forgetful else None
+        return self.memory.state if self.memory.copy and not self.amnesiac else None
 
     @property
     def epoch(self) -> int:
@@ -136,8 +150,8 @@
         return not self.primary or self.me in self.memory.record.copies
 
     @property
-    def forgetful(self) -> bool:
-        return self.recalling is not None
+    def amnesiac(self) -> bool:
+        return self.recovery is not None
 
     # -- inputs --------------------------------------------------------------------------------
 
@@ -145,10 +159,10 @@
         if now >= self.ran_at + self.timing.stopped_us:
             self.sure_from, self.agreed = now + self.timing.renew_us, None
         self.ran_at = now
-        if isinstance(event, Heard):
-            self.meet(now, event.sender, event.zone, event.letter)
-            self.letter(now, event.sender, event.letter)
-        elif isinstance(event, Saved):
+        if isinstance(event, Received):
+            self.meet(now, event.sender, event.zone, event.message)
+            self.message(now, event.sender, event.message)
+        elif isinstance(event, Persisted):
             self.out += self.memory.saved(now, event.token, event.ok)
         elif isinstance(event, Submitted):
             self.submitted(now, event)
@@ -161,49 +175,49 @@
         self.go_on(now)
         out, self.out = self.out, []
         for one in out:
-            if isinstance(one, Tell):
-                one.letter.life, one.letter.leaving = self.life, self.retired
+            if isinstance(one, Send):
+                one.message.life, one.message.leaving = self.life, self.retired
         return out
 
-    def meet(self, now: int, sender: str, zone: str, letter: CombLetter) -> None:
-        fellows = self.fellows
-        fellows.zones[sender], fellows.heard_at[sender] = zone, now
-        (fellows.leaving.add if letter.leaving else fellows.leaving.discard)(sender)
-        if fellows.lives.get(sender) != letter.life:
-            fellows.lives[sender] = letter.life
+    def meet(self, now: int, sender: str, zone: str, message: ControlMessage) -> None:
+        peers = self.peers
+        peers.zones[sender], peers.heard_at[sender] = zone, now
+        (peers.leaving.add if message.leaving else peers.leaving.discard)(sender)
+        if peers.lives.get(sender) != message.life:
+            peers.lives[sender] = message.life
             if self.primary_work is not None:
                 self.primary_work.reborn(sender)
-        if self.recalling is not None:
-            self.recalling.meet(sender)
-        if len(fellows.heard_at) > MOST_FELLOWS:
-            oldest = min(fellows.heard_at, key=fellows.heard_at.__getitem__)
-            del fellows.heard_at[oldest], fellows.zones[oldest], fellows.lives[oldest]
-            fellows.leaving.discard(oldest)
-
-    def letter(self, now: int, sender: str, letter: CombLetter) -> None:
-        match letter.WhichOneof("kind"):
+        if self.recovery is not None:
+            self.recovery.meet(sender)
+        if len(peers.heard_at) > MAX_PEERS:
+            oldest = min(peers.heard_at, key=peers.heard_at.__getitem__)
+            del peers.heard_at[oldest], peers.zones[oldest], peers.lives[oldest]
+            peers.leaving.discard(oldest)
+
+    def message(self, now: int, sender: str, message: ControlMessage) -> None:
+        match message.WhichOneof("kind"):
             case "ask":
-                self.asked(now, sender, letter.ask)
+                self.asked(now, sender, message.ask)
             case "granted":
-                self.granted(sender, letter.granted)
+                self.granted(sender, message.granted)
             case "write":
-                self.write(now, sender, letter.write)
+                self.write(now, sender, message.write)
             case "written":
-                self.written(now, sender, letter.written)
+                self.written(now, sender, message.written)
             case "renew":
-                self.renew(now, sender, letter.renew)
+                self.renew(now, sender, message.renew)
             case "renewed":
-                self.renewed(now, sender, letter.renewed)
-            case "recall":
-                self.recall(sender, letter.recall)
-            case "recalled" if self.recalling is not None:
-                self.recalling.heard(sender, letter.recalled)
+                self.renewed(now, sender, message.renewed)
+            case "recovery_request":
+                self.recovery_request(sender, message.recovery_request)
+            case "recovery_reply" if self.recovery is not None:
+                self.recovery.heard(sender, message.recovery_reply)
             case "join":
-                self.join(now, letter.join)
+                self.join(now, message.join)
             case "release":
-                self.released(now, sender, letter.release)
+                self.released(now, sender, message.release)
             case "drop":
-                self.drop(sender, letter.drop)
+                self.drop(sender, message.drop)
 
     def tick(self, now: int) -> None:
         self.voter.tick(now)
@@ -211,7 +225,7 @@
             self.tries = 0
         primary, candidate = self.primary_work, self.candidate
         if primary is not None:
-            primary.backups.forget_learners(now)
+            primary.progress.forget_learners(now)
             if primary.gone(now):
                 self.step_down("its lease ran out")
             elif now >= primary.renewed_at + self.timing.renew_us:
@@ -220,8 +234,8 @@
             if candidate.over(now):
                 self.candidate, self.due_at = None, None
                 self.tries = self.tries + 1 if candidate.unheard else 0
-        elif self.recalling is not None:
-            self.out += self.recalling.tick(now)
+        elif self.recovery is not None:
+            self.out += self.recovery.tick(now)
         elif self.me not in self.members:
             self.ask_to_join(now)
         else:
@@ -242,7 +256,7 @@
         """For how long (us) this voter promises that candidate nothing."""
         wait = self.voter.wait(now, candidate, released)
         if self.primary_work is not None:
-            wait = max(wait, self.primary_work.office.lease_until(now) - now)
+            wait = max(wait, self.primary_work.reconfiguration.lease_until(now) - now)
         return wait
 
     def stand_back(self, why: str) -> None:
@@ -263,7 +277,7 @@
             self.candidate = Candidate(self.timing, self.memory, self.me, self.tries, now)
             self.out += self.candidate.probe()
 
-    def granted(self, sender: str, answer: Granted) -> None:
+    def granted(self, sender: str, answer: VoteReply) -> None:
         if self.candidate is not None:
             self.out += self.candidate.heard(sender, answer)
 
@@ -276,10 +290,10 @@
         self.candidate = None
         self.lead_from(now, candidate.epoch, candidate.best(candidate.granted))
 
-    def lead_from(self, now: int, epoch: int, found: CombRecord) -> None:
+    def lead_from(self, now: int, epoch: int, found: ReplicaSet) -> None:
         first_round = self.rng.randrange(1 << 32)
         primary = self.primary_work = Primary(
-            self.timing, self.memory, self.fellows, epoch, found, self.losses, first_round, now
+            self.timing, self.memory, self.peers, epoch, found, self.losses, first_round, now
         )
         self.voter.lease_to, self.due_at = "", None
         self.note(Event.PRIMARY, epoch=epoch)
@@ -304,13 +318,13 @@
         epoch = self.primary_work.epoch
         self.step_down(why)
         self.voter.kind(now, heir)
-        self.out.append(Tell(heir, CombLetter(release=Release(epoch=epoch))))
+        self.out.append(Send(heir, ControlMessage(release=LeadershipTransfer(epoch=epoch))))
 
-    def released(self, now: int, sender: str, release: Release) -> None:
+    def released(self, now: int, sender: str, release: LeadershipTransfer) -> None:
         """The primary has handed over to this machine, which stands at once."""
         memory = self.memory
         named = release.epoch == memory.promised and memory.owner == sender
-        if not named or not memory.copy or self.forgetful or self.retired or self.primary_work is not None:
+        if not named or not memory.copy or self.amnesiac or self.retired or self.primary_work is not None:
             return
         self.voter.lease_to = ""
         self.candidate = Candidate(self.timing, memory, self.me, self.tries, now, release.epoch)
@@ -326,7 +340,7 @@
             else:
                 self.step_down("it ends")
         elif self.voter.lease_to:
-            self.out.append(Tell(self.voter.lease_to, CombLetter()))
+            self.out.append(Send(self.voter.lease_to, ControlMessage()))
 
     def step_down(self, why: str) -> None:
         primary, self.primary_work = self.primary_work, None
@@ -335,12 +349,12 @@
             self.due_at = None
             self.note(Event.PRIMARY_NO_MORE, epoch=primary.epoch, why=why)
 
-    def written(self, now: int, sender: str, answer: Written) -> None:
+    def written(self, now: int, sender: str, answer: WriteReply) -> None:
         if self.primary_work is not None:
             self.out += self.primary_work.written(now, sender, answer)
             self.outbid(now, self.primary_work, answer.promised)
 
-    def renewed(self, now: int, sender: str, answer: Renewed) -> None:
+    def renewed(self, now: int, sender: str, answer: LeaseRenewalReply) -> None:
         if self.primary_work is not None:
             self.primary_work.renewed(sender, answer)
             self.outbid(now, self.primary_work, answer.promised)
@@ -362,7 +376,7 @@
             self.out += self.primary_work.submit(now, asked)
         else:
             self.out.append(
-                Done(asked.number, Failure(Fault(Kind.NOT_SETTLED, "this machine is not the primary")))
+                Completed(asked.number, Failure(Fault(Kind.NOT_SETTLED, "this machine is not the primary")))
             )
 
     # -- joining, remembering ------------------------------------------------------------------
@@ -371,32 +385,32 @@
         if self.primary_work is not None:
             self.primary_work.join(now, join.ip)
         elif self.voter.lease_to and self.voter.lease_to != join.ip:
-            self.out.append(Tell(self.voter.lease_to, CombLetter(join=join)))
+            self.out.append(Send(self.voter.lease_to, ControlMessage(join=join)))
 
     def ask_to_join(self, now: int) -> None:
         if now >= self.joined_at + self.timing.join_us:
             self.joined_at = now
-            letter = CombLetter(join=Join(ip=self.me))
-            self.out += [Tell(ip, letter) for ip in sorted({*self.seeds, *self.members} - {self.me})]
+            message = ControlMessage(join=Join(ip=self.me))
+            self.out += [Send(ip, message) for ip in sorted({*self.seeds, *self.members} - {self.me})]
 
-    def recall(self, sender: str, recall: Recall) -> None:
-        answer = Recalled(round=recall.round, forgetful=self.forgetful)
-        if not self.forgetful:
+    def recovery_request(self, sender: str, recovery_request: RecoveryRequest) -> None:
+        answer = RecoveryReply(round=recovery_request.round, amnesiac=self.amnesiac)
+        if not self.amnesiac:
             answer.promised, answer.owner = self.memory.promised, self.memory.owner
             answer.record.CopyFrom(self.memory.record)
-        elif self.recalling is not None and self.recalling.floor is not None:
-            answer.floor.CopyFrom(self.recalling.floor.state)
-        self.out.append(Tell(sender, CombLetter(recalled=answer)))
+        elif self.recovery is not None and self.recovery.floor is not None:
+            answer.floor.CopyFrom(self.recovery.floor.state)
+        self.out.append(Send(sender, ControlMessage(recovery_reply=answer)))
 
     def remember(self, now: int) -> None:
         """What was recalled is synced first; only then does this machine vote and hold again."""
-        if self.recalling is None:
+        if self.recovery is None:
             return
         if not self.remembering:
-            kept = self.recalling.done(now)
+            kept = self.recovery.done(now)
             if kept is not None:
                 self.remembering = True
                 self.memory.take(kept)
         elif self.memory.synced == self.memory.number:
-            self.recalling = None
-            self.note(Event.REMEMBERED, promised=self.memory.promised, record=place(self.memory.record))
+            self.recovery = None
+            self.note(Event.RECOVERED, promised=self.memory.promised, record=place(self.memory.record))
--- a/vetchusher/comb/floor.py
+++ b/vetchusher/control/restore.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Sequence
 
-from vetchusher.waggle.wire_pb2 import CombState
+from vetchusher.distribution.wire_pb2 import ControlState
 
-from .acts import Kept
+from .messages import PersistentState
 from .state import at, changed, first_record
 
 LEAP = 1 << 20  # epochs: more than are ever begun after an export and before its import
 
 
-def floor_of(kept: Kept, seconds: int) -> Kept:
+def floor_of(kept: PersistentState, seconds: int) -> PersistentState:
     """The same state under an epoch above all that any process may have seen.
 
     Danger: ingresses take nothing under a stamp below one that they know.  Epochs grow by one at each
@@ -23,12 +23,12 @@
     """
     epoch = max(kept.promised + LEAP, kept.state.stamp.epoch + LEAP, seconds)
     state = changed(kept.state, stamped=(epoch, 0))
-    return Kept(epoch, state)
+    return PersistentState(epoch, state)
 
 
-def begun_from(floors: Sequence[CombState], members: Sequence[str]) -> Kept | None:
+def begun_from(floors: Sequence[ControlState], members: Sequence[str]) -> PersistentState | None:
     """What all machines that have forgotten begin from, once each has told its floor; the same at each."""
     if not floors:
         return None
     best = max(floors, key=at)
-    return Kept(best.stamp.epoch, best, record=first_record(members))
+    return PersistentState(best.stamp.epoch, best, record=first_record(members))
--- a/vetchusher/comb/state.py
+++ b/vetchusher/control/state.py
@@ -1,6 +1,6 @@
 """The control state as a value: stamps and records compared, orders applied, majorities counted.
 
-A `CombState` or `CombRecord` is never changed once it has been handed on: each change makes a new one.
+A `ControlState` or `ReplicaSet` is never changed once it has been handed on: each change makes a new one.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from more_itertools import first
 from returns.result import Failure, Result, Success
 
+from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, ReplicaSet, Stamp
 from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle.wire_pb2 import CombRecord, CombState, Evacuation, Stamp
 
-from .acts import Order, Replace, SetEvacuation
+from .messages import Order, Replace, SetEvacuation
 
 MOST_ZONES = 256  # that evacuations may name
 
@@ -29,7 +29,7 @@
     return Stamp(epoch=at[0], seq=at[1])
 
 
-def at(state: CombState) -> Point:
+def at(state: ControlState) -> Point:
     return point(state.stamp)
 
 
@@ -42,21 +42,21 @@
     return len(set(members).intersection(some)) >= majority(len(members))
 
 
-def first_state() -> CombState:
-    return CombState(stamp=stamp(START))
+def first_state() -> ControlState:
+    return ControlState(stamp=stamp(START))
 
 
-def first_record(members: Iterable[str]) -> CombRecord:
+def first_record(members: Iterable[str]) -> ReplicaSet:
     """Of the first start: everybody holds the empty state."""
     named = sorted(set(members))
-    return CombRecord(copies=named, members=named)
+    return ReplicaSet(copies=named, members=named)
 
 
-def place(record: CombRecord) -> Point:
+def place(record: ReplicaSet) -> Point:
     return record.epoch, record.number
 
 
-def newest(records: Iterable[CombRecord]) -> CombRecord:
+def newest(records: Iterable[ReplicaSet]) -> ReplicaSet:
     return max(records, key=place)
 
 
@@ -65,16 +65,16 @@
     return min(max(losses + 1, members - majority(members) + 1), majority(members))
 
 
-def changed(state: CombState, stamped: Point | None = None) -> CombState:
+def changed(state: ControlState, stamped: Point | None = None) -> ControlState:
     """A copy, with another stamp."""
-    made = CombState()
+    made = ControlState()
     made.CopyFrom(state)
     if stamped is not None:
         made.stamp.CopyFrom(stamp(stamped))
     return made
 
 
-def ordered(state: CombState, order: Order) -> Result[CombState, Fault]:
+def ordered(state: ControlState, order: Order) -> Result[ControlState, Fault]:
     """The state after one order; the very same object where the order changes nothing."""
     if isinstance(order, Replace):
         return Success(state if order.version <= state.version else replaced(state, order))
@@ -83,13 +83,13 @@
     return Success(state)
 
 
-def replaced(state: CombState, order: Replace) -> CombState:
+def replaced(state: ControlState, order: Replace) -> ControlState:
     made = changed(state)
     made.version, made.configuration = order.version, order.body
     return made
 
 
-def evacuated(state: CombState, order: SetEvacuation) -> Result[CombState, Fault]:
+def evacuated(state: ControlState, order: SetEvacuation) -> Result[ControlState, Fault]:
     held = first((e for e in state.evacuations if e.zone == order.zone), None)
     if order.on == (held is not None and held.on):
         return Success(state)
@@ -104,8 +104,8 @@
     return Success(made)
 
 
-def without_configuration(state: CombState) -> CombState:
-    made = CombState(
+def without_configuration(state: ControlState) -> ControlState:
+    made = ControlState(
         stamp=state.stamp,
         version=state.version,
         evacuations=state.evacuations,
@@ -114,7 +114,7 @@
     return made
 
 
-def with_configuration(written: CombState, held: CombState) -> CombState | None:
+def with_configuration(written: ControlState, held: ControlState) -> ControlState | None:
     """A state whose configuration was left out, filled from the copy held here; None: it is not held.
 
     Danger: a version may have been written by another epoch with another body and never committed.  Within
--- a/vetchusher/comb/store.py
+++ b/vetchusher/control/store.py
@@ -16,15 +16,15 @@
 from google.protobuf.message import DecodeError
 from returns.result import Failure, Result, Success
 
+from vetchusher.distribution.wire_pb2 import ControlState
 from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle.wire_pb2 import CombState
 
-from .acts import Kept
-from .cells import MANIFEST, SEAL, cells_of, check_of, kept_of, seal_of
 from .chunks import listed, name_of, split
+from .database_file import FORMAT, LOG_BYTES, NAME, FileError, connect, create, hurt, put_aside, strange
 from .digests import LEAVES, Tree, digest, digests_of, leaf_of, small_rows, state_of
-from .file import FORMAT, LOG_BYTES, NAME, FileError, connect, create, hurt, put_aside, strange
+from .encoding import MANIFEST, SEAL, cells_of, check_of, kept_of, seal_of
 from .formats import migrated
+from .messages import PersistentState
 from .state import Point, at, changed
 
 IMPORTED = "imported"  # a row that only `archive` writes, and that goes with the next save
@@ -68,7 +68,7 @@
     def __init__(self, folder: Path, link: sqlite3.Connection | None, most_bytes: int = 0) -> None:
         self.folder, self.link, self.most_bytes = folder, link, most_bytes
         self.broken = False  # nothing in the file can be trusted: the next save begins a new one
-        self.floor: Kept | None = None  # what an import brought (`archive`), until the first save
+        self.floor: PersistentState | None = None  # what an import brought (`archive`), until the first save
         self.written = 0
         self.forget()
 
@@ -115,7 +115,7 @@
 
     # -- reading -------------------------------------------------------------------------------
 
-    def load(self) -> Result[Kept | None, Fault]:
+    def load(self) -> Result[PersistentState | None, Fault]:
         """What was saved last; None: nothing ever was, or the folder was imported (`floor`).
 
         On a failure the caller goes on as with an empty disk (`first_start` false: forgetful, and all others
@@ -125,7 +125,7 @@
         self.broken = not isinstance(kept, Success)
         return kept
 
-    def read(self, link: sqlite3.Connection) -> Result[Kept | None, Fault]:
+    def read(self, link: sqlite3.Connection) -> Result[PersistentState | None, Fault]:
         self.forget()
         try:
             rows, fault = small(link)
@@ -148,11 +148,16 @@
         except (sqlite3.Error, DecodeError, KeyError, ValueError, TypeError) as error:
             return self.bad(f"{type(error).__name__} {error}")
 
-    def bad(self, text: str) -> Result[Kept | None, Fault]:
+    def bad(self, text: str) -> Result[PersistentState | None, Fault]:
         return Failure(Fault(Kind.BAD_STORE, f"{self.folder / NAME}: {text}"))
 
     def know(
-        self, kept: Kept, body: bytes, checks: dict[str, bytes], manifest: bytes, chunks: set[bytes]
+        self,
+        kept: PersistentState,
+        body: bytes,
+        checks: dict[str, bytes],
+        manifest: bytes,
+        chunks: set[bytes],
     ) -> None:
         """:param body: the digest of the configuration"""
         self.checks, self.chunks, self.body = checks, chunks, body
@@ -161,7 +166,7 @@
 
     # -- writing -------------------------------------------------------------------------------
 
-    def save(self, kept: Kept) -> Result[None, Fault]:
+    def save(self, kept: PersistentState) -> Result[None, Fault]:
         """Synced on return.  After a failure the disk holds what it held, or this."""
         try:
             if self.broken or self.link is None:
@@ -180,7 +185,7 @@
                 (self.folder / f"{NAME}.bad").unlink(missing_ok=True)
             return Failure(Fault(Kind.BAD_STORE, f"{self.folder / NAME}: {error}"))
 
-    def write(self, link: sqlite3.Connection, kept: Kept, more: Iterable[str] = ()) -> None:
+    def write(self, link: sqlite3.Connection, kept: PersistentState, more: Iterable[str] = ()) -> None:
         """Only what differs from what lies there: a promise costs a page or two, a route its chunk.
 
         :param more: names of empty rows beside
@@ -299,7 +304,7 @@
 
     def mended(
         self, stamp: Point, leaves: Container[int], told: Mapping[str, bytes], root: bytes
-    ) -> CombState | None:
+    ) -> ControlState | None:
         """The copy of that stamp with what was told in those leaves; None where it has not that root."""
         others = [leaf for leaf in range(LEAVES) if leaf not in leaves]
         own = self.rows(stamp, others)
--- a/vetchusher/comb/voter.py
+++ b/vetchusher/control/voter.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .acts import Timing
-from .memory import Memory
+from .durable_state import DurableState
+from .messages import Timing
 
 
 class Voter:
@@ -14,7 +14,7 @@
     epoch a majority has left since.
     """
 
-    def __init__(self, timing: Timing, memory: Memory, silent_until: int, now: int) -> None:
+    def __init__(self, timing: Timing, memory: DurableState, silent_until: int, now: int) -> None:
         self.timing = timing
         self.memory = memory
         # Danger: the process before this one may have given a lease a moment ago.
@@ -46,7 +46,7 @@
 
     def kind(self, now: int, candidate: str) -> None:
         self.lease_to = ""
-        self.kind_to, self.kind_until = candidate, now + self.timing.courtesy_us
+        self.kind_to, self.kind_until = candidate, now + self.timing.candidate_backoff_us
 
     def lease(self, now: int, primary: str) -> None:
         self.lease_to, self.lease_until = primary, now + self.timing.lease_us
--- a/vetchusher/comb/witness.py
+++ b/vetchusher/control/witness.py
@@ -5,23 +5,23 @@
 
 from __future__ import annotations
 
-from vetchusher.events import Event, Note
-from vetchusher.waggle.wire_pb2 import (
-    Ask,
-    CombLetter,
-    CombState,
+from vetchusher.distribution.wire_pb2 import (
+    ControlMessage,
+    ControlState,
     Drop,
-    Granted,
     Join,
-    Renew,
-    Renewed,
+    LeaseRenewal,
+    LeaseRenewalReply,
     Stamp,
+    VoteReply,
+    VoteRequest,
     Write,
-    Written,
+    WriteReply,
 )
+from vetchusher.events import Event, LogEvent
 
-from .acts import Committed, Output, Tell
-from .memory import Memory
+from .durable_state import DurableState
+from .messages import Committed, Output, Send
 from .state import START, Point, at, place, point, stamp, with_configuration
 from .voter import Voter
 
@@ -29,20 +29,20 @@
 class Witness:
     """It owns what this machine took from primaries: what is committed, and when that was last said."""
 
-    def __init__(self, memory: Memory, voter: Voter, life: int, now: int) -> None:
+    def __init__(self, memory: DurableState, voter: Voter, life: int, now: int) -> None:
         """:param life: of this process; letters to another are not for it"""
         self.memory = memory
         self.voter = voter
         self.life = life
         self.sure_from = now  # letters heard before it may have waited here while this machine stood still
         self.agreed: tuple[Point, int] | None = None  # what the primary last said is in force, and when
-        self._committed = CombState()
+        self._committed = ControlState()
         self.out: list[Output] = []
 
     # -- of the whole member -------------------------------------------------------------------
 
     @property
-    def forgetful(self) -> bool:
+    def amnesiac(self) -> bool:
         raise NotImplementedError
 
     def wait(self, now: int, candidate: str, released: int = 0) -> int:
@@ -58,24 +58,24 @@
 
     # -- promises ------------------------------------------------------------------------------
 
-    def asked(self, now: int, sender: str, ask: Ask) -> None:
+    def asked(self, now: int, sender: str, ask: VoteRequest) -> None:
         wait = self.wait(now, sender, ask.released)
         if ask.epoch == 0:
             wait = max(wait, self.voter.patience(now, sender))
-            if sender not in self.memory.record.members and not self.forgetful:
+            if sender not in self.memory.record.members and not self.amnesiac:
                 self.join(now, Join(ip=sender))  # it was left out while it was away
-        elif not self.forgetful and not wait and ask.epoch > self.memory.promised:
+        elif not self.amnesiac and not wait and ask.epoch > self.memory.promised:
             self.promise(now, sender, ask.epoch)
             return
         answer = self.grant(ask.epoch)
         answer.wait_ms = -(-wait // 1000)
-        self.out.append(Tell(sender, CombLetter(granted=answer)))
+        self.out.append(Send(sender, ControlMessage(granted=answer)))
 
-    def grant(self, epoch: int) -> Granted:
+    def grant(self, epoch: int) -> VoteReply:
         """What a voter that remembers tells of itself: its promise, its record, and whether it has a copy."""
         memory = self.memory
-        answer = Granted(epoch=epoch, promised=memory.promised, forgetful=self.forgetful)
-        if not self.forgetful:
+        answer = VoteReply(epoch=epoch, promised=memory.promised, amnesiac=self.amnesiac)
+        if not self.amnesiac:
             answer.record.CopyFrom(memory.record)
             answer.stamp.CopyFrom(memory.state.stamp)
             answer.copy = memory.copy
@@ -87,13 +87,13 @@
         self.memory.promise(epoch, sender)
         answer = self.grant(epoch)
         answer.granted = True
-        self.out += self.memory.tell(sender, CombLetter(granted=answer), self.memory.number)
+        self.out += self.memory.tell(sender, ControlMessage(granted=answer), self.memory.number)
         self.note(Event.EPOCH_PROMISED, epoch=epoch, to=sender)
 
     def follows(self, now: int, sender: str, epoch: int) -> bool:
         """Takes the sender for the primary of an epoch, and gives it a lease, unless a higher one is
         promised."""
-        if self.forgetful or epoch == 0 or epoch < self.memory.promised:
+        if self.amnesiac or epoch == 0 or epoch < self.memory.promised:
             return False
         self.stand_back("another is the primary of a later epoch")
         self.memory.promise(epoch, sender)
@@ -102,14 +102,14 @@
 
     # -- a primary's letters -------------------------------------------------------------------
 
-    def renew(self, now: int, sender: str, renew: Renew) -> None:
-        answer = Renewed(
+    def renew(self, now: int, sender: str, renew: LeaseRenewal) -> None:
+        answer = LeaseRenewalReply(
             epoch=renew.epoch, round=renew.round, accepted=self.follows(now, sender, renew.epoch)
         )
         memory = self.memory
-        answer.promised, answer.forgetful = memory.promised, self.forgetful
+        answer.promised, answer.amnesiac = memory.promised, self.amnesiac
         if not answer.accepted:
-            self.out.append(Tell(sender, CombLetter(renewed=answer)))
+            self.out.append(Send(sender, ControlMessage(renewed=answer)))
             return
         if renew.record.members:
             memory.accept(renew.record)
@@ -118,34 +118,34 @@
         answer.record.CopyFrom(stamp(place(memory.record)))
         self.agree(now, renew.committed)
         # Danger: an epoch taken from its primary is a promise too: like a record, told only from the disk.
-        self.out += memory.tell(sender, CombLetter(renewed=answer), memory.office_number)
+        self.out += memory.tell(sender, ControlMessage(renewed=answer), memory.office_number)
 
     def write(self, now: int, sender: str, write: Write) -> None:
         # Danger: what was sent to the process before this one may be older than what its lost disk had.
         mine = write.life == self.life
-        answer = Written(epoch=write.epoch, accepted=mine and self.follows(now, sender, write.epoch))
+        answer = WriteReply(epoch=write.epoch, accepted=mine and self.follows(now, sender, write.epoch))
         answer.promised = self.memory.promised
         if not answer.accepted:
-            self.out.append(Tell(sender, CombLetter(written=answer)))
+            self.out.append(Send(sender, ControlMessage(written=answer)))
             return
         if not self.memory.copy or at(write.state) > at(self.memory.state):
-            state: CombState | None = write.state
+            state: ControlState | None = write.state
             if write.state.configuration_left_out:
                 state = with_configuration(write.state, self.memory.state) if self.memory.copy else None
             if state is None:
                 answer.accepted, answer.need_whole = False, True
-                self.out.append(Tell(sender, CombLetter(written=answer)))
+                self.out.append(Send(sender, ControlMessage(written=answer)))
                 return
             self.memory.hold(state)
         answer.stamp.CopyFrom(self.memory.state.stamp)
         number = max(self.memory.state_number, self.memory.office_number)
-        self.out += self.memory.tell(sender, CombLetter(written=answer), number)
+        self.out += self.memory.tell(sender, ControlMessage(written=answer), number)
         self.agree(now, write.committed)
 
     def drop(self, sender: str, drop: Drop) -> None:
         """The record that stands does not name this machine: a witness keeps no state."""
         memory = self.memory
-        if self.forgetful or drop.epoch != memory.promised or memory.owner != sender:
+        if self.amnesiac or drop.epoch != memory.promised or memory.owner != sender:
             return
         if memory.copy and at(memory.state) <= point(drop.stamp):
             memory.drop()
@@ -159,10 +159,10 @@
         if now >= self.sure_from:
             self.agreed = point(told), now
 
-    def commit(self, state: CombState) -> None:
+    def commit(self, state: ControlState) -> None:
         if at(state) > at(self._committed):
             self._committed = state
             self.out.append(Committed(state))
 
     def note(self, event: Event, **facts: object) -> None:
-        self.out.append(Note(event, facts))
+        self.out.append(LogEvent(event, facts))
--- a/vetchusher/entrance/presence.py
+++ b/vetchusher/directory/presence.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from vetchusher.events import Event, Note
-from vetchusher.waggle import wire_pb2 as wire
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.events import Event, LogEvent
 
 from .naming import Entrance, named, row_of
 
@@ -42,21 +42,32 @@
         self.ingresses: dict[str, Ingress] = {}
         self.lost: set[str] = set()  # of `ingresses`: told in the log as lost
 
-    def heard(self, now: int, beat: wire.Beat) -> list[Note]:
+    def heard(self, now: int, heartbeat: wire.Heartbeat) -> list[LogEvent]:
         """Take in a beat; those of machines that take no clients tell nothing here."""
-        if not beat.front:
+        if not heartbeat.front:
             return []
-        known = self.ingresses.get(beat.node)
+        known = self.ingresses.get(heartbeat.node)
         if known is None and len(self.ingresses) >= MOST_INGRESSES:
             return []
-        fresh = known is None or known.life != beat.life or beat.node in self.lost
-        self.lost.discard(beat.node)
-        self.ingresses[beat.node] = Ingress(
-            beat.node, beat.ip, beat.zone, beat.region, beat.front, beat.life, beat.standing, now
+        fresh = known is None or known.life != heartbeat.life or heartbeat.node in self.lost
+        self.lost.discard(heartbeat.node)
+        self.ingresses[heartbeat.node] = Ingress(
+            heartbeat.node,
+            heartbeat.ip,
+            heartbeat.zone,
+            heartbeat.region,
+            heartbeat.front,
+            heartbeat.life,
+            heartbeat.standing,
+            now,
+        )
+        return (
+            [LogEvent(Event.INGRESS_SEEN, {"node": heartbeat.node, "standing": heartbeat.standing})]
+            if fresh
+            else []
         )
-        return [Note(Event.INGRESS_SEEN, {"node": beat.node, "standing": beat.standing})] if fresh else []
 
-    def sweep(self, now: int) -> list[Note]:
+    def sweep(self, now: int) -> list[LogEvent]:
         notes = []
         for node, one in list(self.ingresses.items()):
             silent = now - one.heard_at
@@ -65,7 +76,7 @@
                 self.lost.discard(node)
             elif silent > SERVING_US and node not in self.lost:
                 self.lost.add(node)
-                notes.append(Note(Event.INGRESS_LOST, {"node": node}))
+                notes.append(LogEvent(Event.INGRESS_LOST, {"node": node}))
         return notes
 
     def remember(self, now: int, node: str) -> None:
--- a/vetchusher/waggle/shelf.py
+++ b/vetchusher/distribution/snapshot.py
@@ -17,25 +17,28 @@
 from vetchusher.kinds import Fault, Kind
 
 from . import wire_pb2 as wire
-from .ledger import NEVER, Ledger
+from .source import NEVER, Source
 
 FILE = "told.sqlite3"
 FORM = 1
 
+# Names of sources in files of earlier releases.
+FORMER_NAMES = {"comb": "control", "scouts": "discovery", "entrance": "directory"}
 
-class Shelf:
+
+class SnapshotStore:
     """Owner of one file: a row a source, written whole, with a checksum."""
 
     def __init__(self, base: sqlite3.Connection) -> None:
         self.base = base
 
     @staticmethod
-    def open(folder: str) -> Result[Shelf, Fault]:
+    def open(folder: str) -> Result[SnapshotStore, Fault]:
         """A file that is none of ours, newer or torn is begun anew: it holds nothing that was promised."""
         path = os.path.join(folder, FILE)
         for attempt in range(2):
             try:
-                return Success(Shelf(_opened(path)))
+                return Success(SnapshotStore(_opened(path)))
             except (sqlite3.Error, OSError) as err:
                 if attempt:
                     return Failure(Fault(Kind.BAD_STORE, f"{path}: {err}"))
@@ -46,14 +49,15 @@
                         continue
         raise AssertionError("unreachable")
 
-    def load(self, sources: Mapping[str, Ledger]) -> Result[list[str], Fault]:
+    def load(self, sources: Mapping[str, Source]) -> Result[list[str], Fault]:
         """Put the rows that are whole into ledgers that hold nothing yet; the names of those."""
         loaded = []
         try:
             kept = self.base.execute("SELECT source, sum, news FROM told").fetchall()
         except sqlite3.Error as err:
             return Failure(Fault(Kind.BAD_STORE, f"{FILE}: {err}"))
-        for source, total, raw in kept:
+        for stored_name, total, raw in kept:
+            source = FORMER_NAMES.get(stored_name, stored_name)
             ledger = sources.get(source)
             if ledger is None or zlib.crc32(raw) != total:
                 continue
@@ -61,7 +65,7 @@
                 news = wire.SourceNews.FromString(raw)
             except DecodeError:
                 continue
-            if news.whole and news.source == source and ledger.take(news):
+            if news.whole and news.source == stored_name and ledger.take(news):
                 loaded.append(source)
         return Success(loaded)
 
@@ -81,7 +85,7 @@
         self.base.close()
 
 
-def whole(ledger: Ledger) -> wire.SourceNews | None:
+def whole(ledger: Source) -> wire.SourceNews | None:
     """All that a ledger holds, as a reader gets it that holds nothing."""
     return ledger.since(NEVER)
 
--- a/vetchusher/waggle/ledger.py
+++ b/vetchusher/distribution/source.py
@@ -27,13 +27,13 @@
     return wire.Stamp(epoch=stamp[0], seq=stamp[1])
 
 
-def vector_of(sources: Mapping[str, Ledger]) -> list[wire.SourceAt]:
+def vector_of(sources: Mapping[str, Source]) -> list[wire.SourceAt]:
     """What a reader holds, one stamp for each source."""
     return [wire.SourceAt(source=name, stamp=message_of(led.stamp)) for name, led in sources.items()]
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredRow:
     value: bytes
     stamp: Stamped
 
@@ -49,14 +49,14 @@
     stamp: Stamped
     base: Stamped
     whole: bool
-    rows: dict[str, Kept]
+    rows: dict[str, StoredRow]
     gone: tuple[str, ...]
     size: int
 
 
 def sorted_out(news: wire.SourceNews) -> Told:
     stamp = stamp_of(news.stamp)
-    rows = {row.key: Kept(row.value, stamp) for row in news.rows if not row.gone}
+    rows = {row.key: StoredRow(row.value, stamp) for row in news.rows if not row.gone}
     gone = tuple(row.key for row in news.rows if row.gone) if len(rows) < len(news.rows) else ()
     return Told(news.source, stamp, stamp_of(news.base), news.whole, rows, gone, news.ByteSize())
 
@@ -65,14 +65,14 @@
     return [sorted_out(source) for source in news.sources]
 
 
-class Ledger:
+class Source:
     """Owner of a source's rows at one process: `publish` at its author, `take` at its readers."""
 
     def __init__(self, source: str) -> None:
         self.source = source
         self.stamp: Stamped = NEVER
         self.floor: Stamped = NEVER
-        self.rows: dict[str, Kept] = {}
+        self.rows: dict[str, StoredRow] = {}
         self.gone: dict[str, Stamped] = {}
 
     def values(self) -> dict[str, bytes]:
@@ -148,7 +148,7 @@
 
     def _set(self, key: str, value: bytes, stamp: Stamped) -> None:
         self.gone.pop(key, None)
-        self.rows[key] = Kept(value, stamp)
+        self.rows[key] = StoredRow(value, stamp)
 
     def _strike(self, key: str, stamp: Stamped) -> None:
         """Danger: names of what is gone would grow for ever; the oldest go, and with them their deltas."""
@@ -160,14 +160,14 @@
                 self.floor = max(self.floor, self.gone.pop(old))
 
 
-def news_for(sources: Mapping[str, Ledger], vector: Iterable[wire.SourceAt]) -> wire.News:
+def news_for(sources: Mapping[str, Source], vector: Iterable[wire.SourceAt]) -> wire.News:
     """What the reader of that vector lacks, of the sources that it names."""
     told = wire.News()
     fill_news(told, sources, vector)
     return told
 
 
-def fill_news(told: wire.News, sources: Mapping[str, Ledger], vector: Iterable[wire.SourceAt]) -> None:
+def fill_news(told: wire.News, sources: Mapping[str, Source], vector: Iterable[wire.SourceAt]) -> None:
     """The same into an empty message."""
     for at in vector:
         ledger = sources.get(at.source)
--- a/vetchusher/waggle/follower.py
+++ b/vetchusher/distribution/subscriber.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from vetchusher.events import Event, Note
+from vetchusher.events import Event, LogEvent
 
 from . import wire_pb2 as wire
-from .ledger import NEVER, Ledger, Stamped, Told, stamp_of, vector_of
+from .source import NEVER, Source, Stamped, Told, stamp_of, vector_of
 
 BEAT_US = 500_000  # to the primary, or while none is known
 OTHERS_US = 1_000_000  # to the other core machines: what they learn is told unasked
@@ -56,10 +56,10 @@
     primary: str = ""
 
 
-class Follower:
+class Subscriber:
     """Owner of the contacts: seeds, and the members that the newest answer in force names."""
 
-    def __init__(self, seeds: Iterable[str], sources: Mapping[str, Ledger], me: str = "") -> None:
+    def __init__(self, seeds: Iterable[str], sources: Mapping[str, Source], me: str = "") -> None:
         """:param me: own ip where this is itself a core machine: it asks the others only"""
         self.me = me
         self.sources = dict(sources)
@@ -111,7 +111,7 @@
             contact.beaten_at, contact.waiting = now, True
         return [SendBeat(ip) for ip in self.contacts]
 
-    def heard_beat(self, now: int, ip: str, sent_at: int, answer: wire.BeatHeard | None) -> list[Send]:
+    def heard_beat(self, now: int, ip: str, sent_at: int, answer: wire.HeartbeatReply | None) -> list[Send]:
         """The answer to a beat sent at `sent_at`, or that there was none; a vector told unasked as well."""
         contact = self.known(ip)
         if contact is None:
@@ -143,7 +143,7 @@
         self.pulling = (self.pulls, ip, now)
         return [SendPull(ip, self.pulls, wire.Pull(vector=vector_of(self.sources)))]
 
-    def heard_news(self, number: int, news: Iterable[Told]) -> tuple[set[str], list[Note]]:
+    def heard_news(self, number: int, news: Iterable[Told]) -> tuple[set[str], list[LogEvent]]:
         """What came of a pull (0: what came with a beat's answer): the sources that changed here."""
         if self.pulling is not None and self.pulling[0] == number:
             self.pulling = None
@@ -155,7 +155,7 @@
                 changed.add(told.source)
                 facts: dict[str, object] = {"source": told.source, "epoch": told.stamp[0]}
                 facts |= {"seq": told.stamp[1], "rows": len(told.rows) + len(told.gone), "bytes": told.size}
-                notes.append(Note(Event.NEWS_TAKEN, facts | {"whole": told.whole}))
+                notes.append(LogEvent(Event.NEWS_TAKEN, facts | {"whole": told.whole}))
         return changed, notes
 
     def in_touch(self, now: int) -> bool:
@@ -165,8 +165,8 @@
     def fresh(self, now: int) -> bool:
         """Whether what is held of the control state is what is in force, as of FRESH_US ago at the latest."""
         answers = [c for c in self.contacts.values() if now - c.in_force_at <= FRESH_US]
-        held = self.sources["comb"].stamp
-        return bool(answers) and all(c.in_force.get("comb", NEVER) <= held for c in answers)
+        held = self.sources["control"].stamp
+        return bool(answers) and all(c.in_force.get("control", NEVER) <= held for c in answers)
 
     def primary_heard_at(self, now: int) -> int:
         """When the beat was sent (us) to which the primary last said that it holds."""
--- a/vetchusher/duties/duties.py
+++ b/vetchusher/duties/duties.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from vetchusher.tier import Envelope, Letter, Tell
+from vetchusher.datagrams import Envelope, Letter, Tell
 
 from . import messages
 from .candidate import Candidate, Reason, Stage
--- a/vetchusher/duties/engine.py
+++ b/vetchusher/duties/engine.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import Any
 
-from vetchusher.tier import Envelope
+from vetchusher.datagrams import Envelope
 
 from .candidate import Reason, why_ended
 from .duties import Act, Figures, Note
--- a/vetchusher/duties/engine_work.py
+++ b/vetchusher/duties/engine_work.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from vetchusher import interface as api
-from vetchusher.tier import Tell
+from vetchusher.datagrams import Tell
 
 from .duties import Act, Duties
 from .engine import Ask, EngineDuties
--- a/vetchusher/duties/work.py
+++ b/vetchusher/duties/work.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from vetchusher import interface as api
-from vetchusher.tier import Envelope, Letter, Pace, Tell
+from vetchusher.datagrams import Envelope, Letter, Pace, Tell
 
 from . import report
 from .duties import Act, Duties, Note
--- a/vetchusher/emulator/comb_cases.py
+++ b/vetchusher/emulator/control/cases.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from vetchusher.comb import SetEvacuation, Timing
+from vetchusher.control import SetEvacuation, Timing
+from vetchusher.emulator.explorer import TIME
 
-from .comb_cells import UNIT, Cell, Cells
-from .comb_explorer import BEGIN, TIMING, Budget, Operator, State, replacing
-from .comb_judge import Judge
-from .explorer import TIME
+from .encoding_cases import UNIT, Cell, Cells
+from .explorer import BEGIN, TIMING, Budget, Operator, State, replacing
+from .judge import Judge
 
 ZONES = ("east", "east", "west")
 OPERATORS = (Operator(replacing(2)), Operator(replacing(3)))
@@ -114,7 +114,7 @@
     """r2 is on the primary's disk alone, the power goes everywhere, and all have started again."""
     state = step(settled(), "order 1 to 1")
     state = step(step(state, "1 has saved"), "power lost")
-    state.letters = ()
+    state.messages = ()
     for ip in "123":
         state = step(state, f"{ip} starts")
     return state
@@ -138,7 +138,7 @@
         state = ready[0](state.copy())
         state.wrong()
     state = step(state, "power lost")
-    state.letters = ()
+    state.messages = ()
     return step(step(state, "1 starts"), "2 starts")
 
 
--- a/vetchusher/emulator/comb_cells.py
+++ b/vetchusher/emulator/control/encoding_cases.py
@@ -19,21 +19,21 @@
 from google.protobuf.message import Message
 from returns.result import Result, Success
 
-from vetchusher.comb import (
+from vetchusher.control import (
     Committed,
-    Done,
+    Completed,
     Input,
-    Kept,
-    Member,
     Output,
+    Persist,
+    PersistentState,
+    Replica,
     Retrieve,
-    Save,
     Submitted,
     Tick,
     Timing,
 )
-from vetchusher.comb.state import START, Point
-from vetchusher.comb.state import at as at_
+from vetchusher.control.state import START, Point
+from vetchusher.control.state import at as at_
 
 UNIT: Final = 500_000  # us; a step of the clock
 ATOMS = (int, str, bytes, bool, float, type(None))
@@ -67,7 +67,7 @@
 def parts(kind: Any) -> tuple[str, ...]:
     """Names of what an object of the control state is made of; empty: of its `__dict__`."""
     if not kind.__module__.startswith(
-        ("vetchusher.comb", "vetchusher.events", "vetchusher.emulator.comb_judge")
+        ("vetchusher.control", "vetchusher.events", "vetchusher.emulator.control.judge")
     ):
         raise TypeError(f"{kind} is not known to be plain data")
     return tuple(f.name for f in fields(kind)) if is_dataclass(kind) else ()
@@ -146,10 +146,10 @@
 
     place: int
     zone: str
-    member: Member | None = None
+    member: Replica | None = None
     life: int = 0
-    disk: Kept | None = None
-    saving: Save | None = None
+    disk: PersistentState | None = None
+    saving: Persist | None = None
     stopped: bool = False
     slow: int = 0
     told: tuple[Point, int] = (START, 0)
@@ -194,7 +194,7 @@
 
     def start(self, cell: Cell, at: int, first: bool = False) -> Cell:
         life = cell.life + 1
-        member = Member(
+        member = Replica(
             cell.ip,
             cell.zone,
             self.seeds,
@@ -229,11 +229,11 @@
     def made(self, cell: Cell, at: int, event: Input) -> tuple[Cell, tuple[Output, ...]]:
         member = clone(cell.member)
         out = member.handle(at - cell.slow, event)
-        saves = [o for o in out if isinstance(o, Save)]
+        saves = [o for o in out if isinstance(o, Persist)]
         assert len(saves) + (cell.saving is not None) <= 1, "two saves at once"
         told = max([cell.told, *((at_(o.state), o.state.version) for o in out if isinstance(o, Committed))])
         after = replace(cell, member=member, saving=saves[0] if saves else cell.saving, told=told)
-        return self.keep(after), tuple(o for o in out if not isinstance(o, Save))
+        return self.keep(after), tuple(o for o in out if not isinstance(o, Persist))
 
     def tick(self, cell: Cell, at: int) -> tuple[Cell, tuple[Output, ...]]:
         return self.give(cell, at, Tick(), "tick")
@@ -257,7 +257,7 @@
                 (
                     o.outcome.unwrap()
                     for o in out
-                    if isinstance(o, Done) and o.number == READING and isinstance(o.outcome, Success)
+                    if isinstance(o, Completed) and o.number == READING and isinstance(o.outcome, Success)
                 ),
                 None,
             )
--- a/vetchusher/emulator/comb_explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -21,26 +21,26 @@
 
 from returns.result import Success
 
-from vetchusher.comb import (
+from vetchusher.control import (
     Committed,
-    Done,
-    Heard,
+    Completed,
     Order,
     Output,
+    Persisted,
+    Received,
     Replace,
     Retire,
-    Saved,
+    Send,
     SetEvacuation,
     Submitted,
-    Tell,
     Timing,
 )
-from vetchusher.events import Event, Note
-from vetchusher.waggle.wire_pb2 import CombLetter
+from vetchusher.distribution.wire_pb2 import ControlMessage
+from vetchusher.emulator.explorer import TIME
+from vetchusher.events import Event, LogEvent
 
-from .comb_cells import UNIT, Cell, Cells, clone, digest
-from .comb_judge import Judge
-from .explorer import TIME
+from .encoding_cases import UNIT, Cell, Cells, clone, digest
+from .judge import Judge
 
 LATE = 2 * UNIT  # a letter older than that is lost, as every question is by then
 BEGIN = 100 * UNIT
@@ -56,7 +56,7 @@
     heard_us=2 * UNIT,
     stopped_us=2 * UNIT,
     regain_us=UNIT,
-    courtesy_us=UNIT,
+    candidate_backoff_us=UNIT,
     pause_us=3 * UNIT,
     probe_us=UNIT,
     ask_us=2 * UNIT,
@@ -128,7 +128,7 @@
     hall: Cells
     at: int
     cells: tuple[Cell, ...]
-    letters: tuple[Sent, ...]
+    messages: tuple[Sent, ...]
     cuts: frozenset[tuple[str, str]]
     budget: Budget
     operators: tuple[Operator, ...]
@@ -141,10 +141,10 @@
     # -- as a moment ---------------------------------------------------------------------------
 
     def shot(self) -> bytes:
-        letters = self.letters if self.budget.delays is not None else tuple(sorted(self.letters))
+        messages = self.messages if self.budget.delays is not None else tuple(sorted(self.messages))
         operators = tuple((o.tries, o.number, o.to, o.done) for o in self.operators)
         keys = tuple(c.key for c in self.cells)
-        return digest(self.at, keys, letters, self.cuts, astuple(self.budget), operators, self.judged)
+        return digest(self.at, keys, messages, self.cuts, astuple(self.budget), operators, self.judged)
 
     def wrong(self) -> str | None:
         if not self.checked:
@@ -176,7 +176,7 @@
 
     def copy(self, budget: Budget | None = None) -> State:
         return State(
-            self.hall, self.at, self.cells, self.letters, self.cuts, budget or self.budget, self.operators,
+            self.hall, self.at, self.cells, self.messages, self.cuts, budget or self.budget, self.operators,
             self.judge, self.judged,
         )  # fmt: skip
 
@@ -196,27 +196,27 @@
         cell, outs = given
         self.put(cell)
         for out in outs:
-            if isinstance(out, Tell):
-                self.post((cell.ip, out.to, out.letter.SerializeToString(deterministic=True), self.at))
+            if isinstance(out, Send):
+                self.post((cell.ip, out.to, out.message.SerializeToString(deterministic=True), self.at))
             elif isinstance(out, Committed):
                 self.judging().commits(cell.ip, out.state)
-            elif isinstance(out, Done):
+            elif isinstance(out, Completed):
                 self.answered(out)
-            elif isinstance(out, Note) and out.event is Event.PRIMARY:
+            elif isinstance(out, LogEvent) and out.event is Event.PRIMARY:
                 epoch = out.facts["epoch"]
                 assert isinstance(epoch, int)
                 self.judging().led(epoch, f"{cell.ip}/{cell.life}")
-            elif isinstance(out, Note) and out.event is Event.COPIES_HELD:
+            elif isinstance(out, LogEvent) and out.event is Event.COPIES_HELD:
                 assert cell.member is not None and cell.member.primary_work is not None
-                record = cell.member.primary_work.office.record
+                record = cell.member.primary_work.reconfiguration.record
                 self.judging().stands(record, {c.ip: c.disk for c in self.cells})
         return self
 
-    def post(self, letter: Sent) -> None:
-        if letter[:2] not in self.cuts and letter not in self.letters:
-            self.letters += (letter,)
+    def post(self, message: Sent) -> None:
+        if message[:2] not in self.cuts and message not in self.messages:
+            self.messages += (message,)
 
-    def answered(self, out: Done) -> None:
+    def answered(self, out: Completed) -> None:
         for place, operator in enumerate(self.operators):
             if operator.number != out.number:
                 continue
@@ -272,26 +272,26 @@
         for cell in self.cells:
             if cell.saving is not None and not cell.stopped:
                 yield f"{cell.ip} has saved", partial(State.saved, cell=cell, ok=True)
-        for letter in self.letters:
-            to = self.cell(letter[1])
+        for message in self.messages:
+            to = self.cell(message[1])
             if to.member is not None and not to.stopped:
-                yield named(letter), partial(State.delivered, letter=letter)
+                yield named(message), partial(State.delivered, message=message)
 
     def saved(self, cell: Cell, ok: bool) -> State:
         assert cell.saving is not None
         token = cell.saving.token
         ended = self.hall.synced(cell, ok)
-        return self.carry(self.hall.give(ended, self.at, Saved(token, ok), ("saved", token, ok)))
+        return self.carry(self.hall.give(ended, self.at, Persisted(token, ok), ("saved", token, ok)))
 
-    def delivered(self, letter: Sent) -> State:
-        sender, to, data, _ = letter
-        self.letters = tuple(x for x in self.letters if x != letter)
-        heard = Heard(sender, self.cell(sender).zone, CombLetter.FromString(data))
+    def delivered(self, message: Sent) -> State:
+        sender, to, data, _ = message
+        self.messages = tuple(x for x in self.messages if x != message)
+        heard = Received(sender, self.cell(sender).zone, ControlMessage.FromString(data))
         return self.carry(self.hall.give(self.cell(to), self.at, heard, (sender, data)))
 
     def passes(self) -> State:
         self.at += UNIT
-        self.letters = tuple(x for x in self.letters if self.at - x[3] < LATE or self.cell(x[1]).stopped)
+        self.messages = tuple(x for x in self.messages if self.at - x[3] < LATE or self.cell(x[1]).stopped)
         judge = self.judging()
         judge.at = self.at
         judge.in_force("nobody", judge.acknowledged)  # what is old by now
@@ -356,8 +356,8 @@
             yield "blackouts", "power lost, the saves landed", partial(State.blackout, landed=True)
 
     def links(self) -> Iterator[tuple[str, str, Step]]:
-        for letter in self.letters:
-            yield "losses", f"lost: {named(letter)}", partial(State.without, letter=letter)
+        for message in self.messages:
+            yield "losses", f"lost: {named(message)}", partial(State.without, message=message)
         for pair in self.cuts:
             yield "joins", f"{pair[0]} to {pair[1]} joined", partial(State.cut, cuts=self.cuts - {pair})
         ways = {(a.ip, b.ip) for a in self.cells for b in self.cells if a is not b}
@@ -391,22 +391,22 @@
         """Stops, or goes on and finds what came meanwhile."""
         self.put(self.hall.keep(replace(cell, stopped=not cell.stopped)))
         if cell.stopped:
-            self.letters = tuple((*x[:3], self.at) if x[1] == cell.ip else x for x in self.letters)
+            self.messages = tuple((*x[:3], self.at) if x[1] == cell.ip else x for x in self.messages)
         return self
 
-    def without(self, letter: Sent) -> State:
-        self.letters = tuple(x for x in self.letters if x != letter)
+    def without(self, message: Sent) -> State:
+        self.messages = tuple(x for x in self.messages if x != message)
         return self
 
     def cut(self, cuts: frozenset[tuple[str, str]]) -> State:
         self.cuts = cuts
-        self.letters = tuple(x for x in self.letters if x[:2] not in cuts)
+        self.messages = tuple(x for x in self.messages if x[:2] not in cuts)
         return self
 
 
 Step = Callable[[State], State]  # changes the state, which is its own, and returns it
 
 
-def named(letter: Sent) -> str:
-    sender, to, data, _ = letter
-    return f"{sender} to {to}: {CombLetter.FromString(data).WhichOneof('kind')}"
+def named(message: Sent) -> str:
+    sender, to, data, _ = message
+    return f"{sender} to {to}: {ControlMessage.FromString(data).WhichOneof('kind')}"
--- a/vetchusher/emulator/comb_judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -6,11 +6,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from vetchusher.comb import Kept
-from vetchusher.comb.state import START, Point, at, majority, place
-from vetchusher.waggle.wire_pb2 import CombRecord, CombState
-
-from .tier_world import SECOND
+from vetchusher.control import PersistentState
+from vetchusher.control.state import START, Point, at, majority, place
+from vetchusher.distribution.wire_pb2 import ControlState, ReplicaSet
+from vetchusher.emulator.fleet_world import SECOND
 
 # How old what is said to be in force may be: heard within a second, from a primary whose lease had not run
 # out, in a letter that was late.
@@ -53,7 +52,7 @@
         if len(holders) > 1:
             self.say(f"{' and '.join(holders)} hold at once")
 
-    def commits(self, who: str, state: CombState) -> None:
+    def commits(self, who: str, state: ControlState) -> None:
         stamp, told = at(state), state.SerializeToString(deterministic=True)
         if self.committed.setdefault(stamp, told) != told:
             self.say(f"{who} committed {stamp}, which was something else before")
@@ -66,7 +65,7 @@
             self.say(f"{who} committed r{state.version} that is not as it was sent")
         self.zones(who, state)
 
-    def zones(self, who: str, state: CombState) -> None:
+    def zones(self, who: str, state: ControlState) -> None:
         is_on = {e.zone: e.on for e in state.evacuations}
         for zone, on in self.expected.items():
             if is_on.get(zone, False) != on:
@@ -85,7 +84,7 @@
     def lost_lately(self, ip: str) -> bool:
         return self.lost_at.get(ip, -STALE) > self.at - STALE
 
-    def stands(self, record: CombRecord, disks: dict[str, Kept | None]) -> None:
+    def stands(self, record: ReplicaSet, disks: dict[str, PersistentState | None]) -> None:
         """A record has come to stand: its copies are whole, a majority has it, none is without a copy."""
         members = len(record.members)
         if len(record.copies) < members - majority(members) + 1 or set(record.copies) - set(record.members):
--- a/vetchusher/emulator/core_faults.py
+++ b/vetchusher/emulator/control/process_faults.py
@@ -5,8 +5,9 @@
 
 from collections.abc import Mapping
 
-from .apiary import Machine
-from .core_rig import CoreRig, Fault, Mend
+from vetchusher.emulator.system.local import Machine
+
+from .process_rig import CoreRig, Fault, Mend
 
 
 async def kill_primary(rig: CoreRig) -> Mend:
--- a/vetchusher/emulator/core_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -22,12 +22,12 @@
 
 import aiohttp
 
-from vetchusher.hive.folders import kept_in
+from vetchusher.emulator.cuts import Cuts
+from vetchusher.emulator.system.local import CONTROL, INTERNAL, REGIONS, Apiary, Machine, first_configuration
+from vetchusher.emulator.wal import Commits
+from vetchusher.node.folders import kept_in
 
-from .apiary import CONTROL, INTERNAL, REGIONS, Apiary, Machine, first_configuration
 from .call_history import History, Ordered, Read, Seen, Wrote
-from .cuts import Cuts
-from .wal import Commits
 
 Mend = Callable[[], Awaitable[None]]
 
--- a/vetchusher/emulator/comb_stories.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -19,8 +19,9 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from .comb_world import Scene, World
-from .tier_world import MS, SECOND
+from vetchusher.emulator.fleet_world import MS, SECOND
+
+from .world import Scene, World
 
 WARM_UP = 2 * SECOND
 PATIENCE = 20 * SECOND
--- a/vetchusher/emulator/comb_search.py
+++ b/vetchusher/emulator/control/search.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from vetchusher.comb import Timing
-from vetchusher.comb.state import majority, newest
+from vetchusher.control import Timing
+from vetchusher.control.state import majority, newest
+from vetchusher.emulator.fleet_world import MS, SECOND
 
-from .comb_world import Scene, World
-from .tier_world import MS, SECOND
+from .world import Scene, World
 
 CATCH_UP = 4 * SECOND
 CALM = 5 * SECOND  # of a majority, after which an order is acknowledged within as long again
