--- a/vetchusher/emulator/comb_world.py
+++ b/vetchusher/emulator/control/world.py
@@ -14,34 +14,34 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.comb import (
+from vetchusher.control import (
     Committed,
-    Done,
-    Heard,
+    Completed,
     Input,
-    Kept,
-    Member,
     Order,
     Output,
+    Persist,
+    Persisted,
+    PersistentState,
+    Received,
     Replace,
+    Replica,
     Retire,
     Retrieve,
-    Save,
-    Saved,
+    Send,
     SetEvacuation,
     Submitted,
-    Tell,
     Tick,
     Timing,
 )
-from vetchusher.comb.state import START, Point, at
-from vetchusher.events import Event, Note
+from vetchusher.control.state import START, Point, at
+from vetchusher.distribution.wire_pb2 import ControlMessage
+from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle.wire_pb2 import CombLetter
 
 from .call_history import History, Read, Wrote
-from .comb_judge import Judge
-from .tier_world import MS, SECOND
+from .judge import Judge
 
 TICK = 50 * MS
 MOST_INBOX = 400
@@ -86,10 +86,10 @@
     zone: str
     rate: float
     offset: int
-    member: Member | None = None
+    member: Replica | None = None
     life: int = 0
-    disk: Kept | None = None
-    saving: Save | None = None
+    disk: PersistentState | None = None
+    saving: Persist | None = None
     disk_hangs: bool = False
     disk_refuses: bool = False
     frozen: bool = False
@@ -116,9 +116,9 @@
         self.attempts: dict[int, tuple[str, Answer]] = {}
         self.history = History()  # of configurations; zones are the judge's
         self.events: Counter[str] = Counter()
-        self.log: list[tuple[int, str, Note]] = []
+        self.log: list[tuple[int, str, LogEvent]] = []
         self.loss, self.late = scene.loss, scene.late
-        self.floors: dict[str, Kept] = {}  # what an import brought into an empty folder
+        self.floors: dict[str, PersistentState] = {}  # what an import brought into an empty folder
         self.machines: dict[str, Machine] = {}
         for number, zone in enumerate(scene.zones):
             drawn = 1 + self.rng.choice((-1, 0, 1)) * scene.drift
@@ -148,7 +148,7 @@
         if machine.member is not None:
             return
         machine.life += 1
-        machine.member = Member(
+        machine.member = Replica(
             ip,
             machine.zone,
             self.seeds,
@@ -207,14 +207,14 @@
         return machine.member is not None and machine.member.holds(machine.now(self.at))
 
     def carry(self, machine: Machine, out: Output) -> None:
-        if isinstance(out, Tell):
-            self.send(machine, out.to, out.letter.SerializeToString())
-        elif isinstance(out, Save):
+        if isinstance(out, Send):
+            self.send(machine, out.to, out.message.SerializeToString())
+        elif isinstance(out, Persist):
             self.save(machine, out)
         elif isinstance(out, Committed):
             machine.told = max(machine.told, (at(out.state), out.state.version))
             self.judge.commits(machine.ip, out.state)
-        elif isinstance(out, Done):
+        elif isinstance(out, Completed):
             self.done(machine, out)
         else:
             self.events[out.event.name] += 1
@@ -224,7 +224,7 @@
                 assert isinstance(epoch, int)
                 self.judge.led(epoch, f"{machine.ip}/{machine.life}")
             elif out.event is Event.COPIES_HELD and machine.member and machine.member.primary_work:
-                record = machine.member.primary_work.office.record
+                record = machine.member.primary_work.reconfiguration.record
                 self.judge.stands(record, {ip: m.disk for ip, m in self.machines.items()})
 
     def kill(self, ip: str) -> None:
@@ -258,13 +258,13 @@
 
     # -- disks ---------------------------------------------------------------------------------
 
-    def save(self, machine: Machine, save: Save) -> None:
+    def save(self, machine: Machine, save: Persist) -> None:
         assert machine.saving is None, "two saves at once"
         machine.saving = save
         life = machine.life
         self.after(self.rng.randrange(1, self.scene.disk_us), lambda: self.saved(machine, life, save))
 
-    def saved(self, machine: Machine, life: int, save: Save) -> None:
+    def saved(self, machine: Machine, life: int, save: Persist) -> None:
         if machine.life != life or machine.saving is not save:
             return
         if machine.disk_hangs:
@@ -273,7 +273,7 @@
         machine.saving = None
         if not machine.disk_refuses:
             machine.disk = save.kept
-        self.give(machine, Saved(save.token, not machine.disk_refuses))
+        self.give(machine, Persisted(save.token, not machine.disk_refuses))
 
     def disk_well(self, ip: str) -> None:
         self.machines[ip].disk_hangs = self.machines[ip].disk_refuses = False
@@ -290,10 +290,10 @@
             self.after(way, lambda: self.deliver(machine, to, data))
 
     def deliver(self, sender: Machine, to: str, data: bytes) -> None:
-        letter = CombLetter.FromString(data)
-        lost = to in self.no_writes and letter.WhichOneof("kind") == "write"
+        message = ControlMessage.FromString(data)
+        lost = to in self.no_writes and message.WhichOneof("kind") == "write"
         if not lost and (sender.ip, to) not in self.cuts:
-            self.give(self.machines[to], Heard(sender.ip, sender.zone, letter))
+            self.give(self.machines[to], Received(sender.ip, sender.zone, message))
 
     def cut(self, ip: str, hears: bool = False, is_heard: bool = False) -> None:
         """One machine from all others, both ways or one."""
@@ -338,7 +338,7 @@
             return to or None
         return to if not {(ip, to), (to, ip)} & self.cuts else None
 
-    def done(self, machine: Machine, out: Done) -> None:
+    def done(self, machine: Machine, out: Completed) -> None:
         _, answer = self.attempts.pop(out.number, ("", None))
         if answer is not None:
             answer(out.outcome)
--- a/vetchusher/emulator/duties_explorer.py
+++ b/vetchusher/emulator/duties/explorer.py
@@ -17,9 +17,8 @@
 from vetchusher.duties.lease import Timing
 from vetchusher.duties.messages import Message, Topic
 from vetchusher.duties.voter import Voter
-
-from . import explorer
-from .explorer import TIME, Explored
+from vetchusher.emulator import explorer
+from vetchusher.emulator.explorer import TIME, Explored
 
 VOTERS, CANDIDATES = (0, 1, 2), (3, 4)
 TIMING = Timing(lease=24, drift=0.0, margin=0)
--- a/vetchusher/emulator/duties_rig.py
+++ b/vetchusher/emulator/duties/rig.py
@@ -13,13 +13,14 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from .duties_audit import Holding, gaps, holdings, wrong
-from .etcd import EtcdServer
-from .messages import free_port, read_message, write_answer
-from .paths import Paths
-from .processes import Processes, held_listener
-from .rig import Discovery, ShareServers, listen, name_table, settings
-from .sockets import DatagramPath, Timeline
+from vetchusher.emulator.outside.etcd import EtcdServer
+from vetchusher.emulator.outside.messages import free_port, read_message, write_answer
+from vetchusher.emulator.outside.sockets import DatagramPath, Timeline
+from vetchusher.emulator.paths import Paths
+from vetchusher.emulator.processes import Processes, held_listener
+from vetchusher.emulator.rig import Discovery, ShareServers, listen, name_table, settings
+
+from .audit import Holding, gaps, holdings, wrong
 
 PATIENCE_S = 60.0  # only what has already failed waits this long
 
--- a/vetchusher/emulator/duties_world.py
+++ b/vetchusher/emulator/duties/world.py
@@ -13,8 +13,7 @@
 
 from vetchusher.duties import Duties, Duty, Plan, Timing
 from vetchusher.duties.duties import Note
-
-from .tier_world import MS, SECOND, Node, TierScene, TierWorld
+from vetchusher.emulator.fleet_world import MS, SECOND, Node, TierScene, TierWorld
 
 WALL_S = 1_900_000_000
 LOOKS = 16  # events between two looks of the judge where no term changed
--- a/vetchusher/emulator/tier_world.py
+++ b/vetchusher/emulator/fleet_world.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Generic, Protocol, TypeVar
 
-from vetchusher.tier import Tell
+from vetchusher.datagrams import Tell
 
 MS = 1_000
 SECOND = 1_000_000
--- /dev/null
+++ b/vetchusher/emulator/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Membership among ingresses in virtual time and with real processes."""
--- a/vetchusher/emulator/members_checks.py
+++ b/vetchusher/emulator/membership/checks.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from vetchusher.emulator.fleet_world import SECOND, Node
 from vetchusher.membership.records import ACCUSATIONS, Record, State
 from vetchusher.membership.rules import Rules
 from vetchusher.membership.view import Change, View
 
-from .members_world import Member, Scene, World
-from .tier_world import SECOND, Node
+from .world import Member, Scene, World
 
 RULES = Rules(12)
 
--- a/vetchusher/emulator/members_rig.py
+++ b/vetchusher/emulator/membership/rig.py
@@ -9,10 +9,9 @@
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass, field
 
+from vetchusher.emulator.duties.rig import Tier
 from vetchusher.membership.rules import Rules
 
-from .duties_rig import Tier
-
 US_NS = 1_000
 PATIENCE_S = 120.0  # only what has already failed waits this long
 
--- a/vetchusher/emulator/members_world.py
+++ b/vetchusher/emulator/membership/world.py
@@ -7,14 +7,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from vetchusher.datagrams import Envelope, Tell
+from vetchusher.emulator.fleet_world import MS, SECOND, Node, TierScene, TierWorld
 from vetchusher.membership.member import Membership, Side
 from vetchusher.membership.probe import Probe
 from vetchusher.membership.records import HERE, Record, State
 from vetchusher.membership.rules import Rules
 from vetchusher.membership.view import Change
-from vetchusher.tier import Envelope, Tell
-
-from .tier_world import MS, SECOND, Node, TierScene, TierWorld
 
 WALL_MS = 1_900_000_000_000
 TIER = 7
--- /dev/null
+++ b/vetchusher/emulator/outside/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins for outside systems, by their published protocols."""
--- a/vetchusher/emulator/counter.py
+++ b/vetchusher/emulator/outside/counter.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from hashlib import blake2b
 
-from .faults import FaultKind, Script
+from vetchusher.emulator.faults import FaultKind, Script
 
 MOST_LIFE_US = 60_000_000
 SWEPT = 4
--- a/vetchusher/emulator/platform.py
+++ b/vetchusher/emulator/outside/platform.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from urllib.parse import parse_qs, urlsplit
 
-from vetchusher.scouts.reader import Listed
+from vetchusher.discovery.reader import Listed
 
 from .messages import read_message
 
--- a/vetchusher/emulator/servers.py
+++ b/vetchusher/emulator/outside/servers.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from vetchusher.scouts.reader import Listed
-from vetchusher.scouts.server import Server
+from vetchusher.discovery.reader import Listed
+from vetchusher.discovery.server import Server
 
 from .messages import read_message
 
--- a/vetchusher/emulator/sockets.py
+++ b/vetchusher/emulator/outside/sockets.py
@@ -10,10 +10,11 @@
 import time
 from collections.abc import AsyncIterator
 
+from vetchusher.emulator.faults import FaultKind
+from vetchusher.emulator.network import Datagrams
+from vetchusher.emulator.paths import Paths
+
 from .counter import Answer, Counter, Reply
-from .faults import FaultKind
-from .network import Datagrams
-from .paths import Paths
 
 MOST_CONNECTIONS = 32  # of one address; further ones are reset
 MOST_HEAD = 8 * 1024
--- /dev/null
+++ b/vetchusher/emulator/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Quotas in virtual time: demand, holders of totals, the judge and planted mutations."""
--- a/vetchusher/emulator/quota_faults.py
+++ b/vetchusher/emulator/quota/mutations.py
@@ -8,14 +8,14 @@
 from typing import Any
 from unittest.mock import patch
 
+from vetchusher.distribution.wire_pb2 import Passed
 from vetchusher.limits import totals
 from vetchusher.limits.tally import Own, Tally
 from vetchusher.limits.totals import Holder, Pool, Source
 from vetchusher.limits.windows import Pair
-from vetchusher.waggle.wire_pb2 import Passed
 
-from .quota_judge import SECOND, Demand
-from .quota_world import Found, Scene, Trouble
+from .judge import SECOND, Demand
+from .world import Found, Scene, Trouble
 
 IN_VAIN = 0.03  # part of what a tenant within its quota is owed that it may lose
 
--- a/vetchusher/emulator/quota_scenes.py
+++ b/vetchusher/emulator/quota/scenes.py
@@ -4,8 +4,8 @@
 
 import random
 
-from .quota_judge import MS, SECOND, Demand
-from .quota_world import Scene, Trouble
+from .judge import MS, SECOND, Demand
+from .world import Scene, Trouble
 
 KINDS = ("hot", "cut", "core", "split", "restart", "limit", "loss")
 ALL_KINDS = (*KINDS, "mute", "deaf", "stall", "move", "shift")
--- a/vetchusher/emulator/virtual.py
+++ b/vetchusher/emulator/quota/virtual.py
@@ -14,15 +14,15 @@
 from functools import partial
 
 from vetchusher import interface as api
+from vetchusher.emulator.faults import Script
+from vetchusher.emulator.network import Cut, Datagrams
+from vetchusher.emulator.outside.counter import Counter, Reply
 from vetchusher.interface import Outcome
 from vetchusher.policy import AdmissionPolicy
 
 from .audit import Audit, Findings
-from .counter import Counter, Reply
 from .demand import SECOND, Ask, draw_asks, draw_firms
 from .deployments import FIRST, Deployment
-from .faults import Script
-from .network import Cut, Datagrams
 
 START = 1_700_000_000 * SECOND
 WAY_US = 400  # there, and as long back, between an ingress and the counter
--- a/vetchusher/emulator/quota_ways.py
+++ b/vetchusher/emulator/quota/ways.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable, Mapping
 
+from vetchusher.distribution.wire_pb2 import Push
 from vetchusher.limits.tally import Own, Tally
 from vetchusher.limits.windows import Shape, shape_of
 from vetchusher.settings.configuration import Tenant
-from vetchusher.waggle.wire_pb2 import Push
 
-from .quota_judge import BOUNDS
-from .quota_world import Ingress, Scene, World
+from .judge import BOUNDS
+from .world import Ingress, Scene, World
 
 
 class EstimateAlone(Tally):
--- a/vetchusher/emulator/quota_world.py
+++ b/vetchusher/emulator/quota/world.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, replace
 from itertools import accumulate
 
+from vetchusher.distribution.wire_pb2 import Push, Totals
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.totals import Holder
 from vetchusher.settings.configuration import Tenant
-from vetchusher.waggle.wire_pb2 import Push, Totals
 
-from .quota_judge import MS, SECOND, Book, Demand
+from .judge import MS, SECOND, Book, Demand
 
 SYNC, BEAT, TICK = 150 * MS, 500 * MS, 50 * MS
 SEEN = 60 * SECOND
@@ -127,7 +127,7 @@
         ingress.tally = self.make(f"edge{ingress.number}", ingress.life)
         ingress.tally.configure(ingress.now(self.at), self.tenants)
         life = ingress.life
-        self.after(self.rng.randrange(BEAT // 5), lambda: self.beat(ingress, life))
+        self.after(self.rng.randrange(BEAT // 5), lambda: self.heartbeat(ingress, life))
         self.after(self.rng.randrange(SYNC), lambda: self.sync(ingress, life))
 
     def take_over(self) -> None:
@@ -164,7 +164,7 @@
             way += self.rng.randrange(600 * MS)
         return way
 
-    def beat(self, ingress: Ingress, life: int) -> None:
+    def heartbeat(self, ingress: Ingress, life: int) -> None:
         """To all of the core; the answer says how many may be serving."""
         if ingress.life != life or ingress.tally is None:
             return
@@ -175,7 +175,7 @@
             way = 2 * self.way(ingress, (ingress.region + 1) % 3)
             if not ingress.deaf:
                 self.after(way, lambda: tally.fleet(self.at + ingress.offset, count, False))
-        self.after(BEAT, lambda: self.beat(ingress, life))
+        self.after(BEAT, lambda: self.heartbeat(ingress, life))
 
     def sync(self, ingress: Ingress, life: int) -> None:
         if ingress.life != life or ingress.tally is None:
--- a/vetchusher/emulator/rig.py
+++ b/vetchusher/emulator/rig.py
@@ -12,15 +12,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .audit import Audit, Findings
-from .counter import Counter
-from .demand import Ask, draw_asks, draw_firms
-from .deployments import FIRST
-from .messages import free_port, read_message, write_answer
+from vetchusher.emulator.outside.counter import Counter
+from vetchusher.emulator.outside.messages import free_port, read_message, write_answer
+from vetchusher.emulator.outside.sockets import CounterServer, DatagramPath, Timeline
+from vetchusher.emulator.quota.audit import Audit, Findings
+from vetchusher.emulator.quota.demand import Ask, draw_asks, draw_firms
+from vetchusher.emulator.quota.deployments import FIRST
+from vetchusher.emulator.quota.virtual import Outage, Scene
+
 from .network import Datagrams
 from .processes import Processes
-from .sockets import CounterServer, DatagramPath, Timeline
-from .virtual import Outage, Scene
 
 SERVERS = 4
 READY_S = 30.0
--- a/vetchusher/emulator/hive_judge.py
+++ b/vetchusher/emulator/system/judge.py
@@ -11,10 +11,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
+from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.settings.node import Bounds
 
-from .tier_world import MS, SECOND
-
 PROMISES = (408, 421, 429, 503)
 DENIALS = (401, 403, 404)
 # Stricter than the rule, which binds machines in touch only: by the design no machine denies by what was
--- a/vetchusher/emulator/apiary.py
+++ b/vetchusher/emulator/system/local.py
@@ -36,12 +36,11 @@
 from docopt import docopt
 
 import vetchusher
+from vetchusher.emulator.outside.platform import PlatformStandIn
+from vetchusher.emulator.outside.servers import StandIn
 from vetchusher.events import Event
 from vetchusher.settings.node import Bounds
 
-from .platform import PlatformStandIn
-from .servers import StandIn
-
 T = TypeVar("T")
 ROOT = pathlib.Path(vetchusher.__file__).parent.parent
 REGIONS = {"gulf-a": "gulf", "delta-a": "delta"}  # of each zone
@@ -231,7 +230,7 @@
 
     def command(self, machine: Machine) -> Sequence[str]:
         """The program of a machine; measurements run their own round the same parts."""
-        return sys.executable, "-m", "vetchusher.hive", "run"
+        return sys.executable, "-m", "vetchusher.node", "run"
 
     def settings_of(self, machine: Machine) -> dict[str, Any]:
         listen = (
--- a/vetchusher/emulator/hive_faults.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -9,34 +9,35 @@
 
 from returns.result import Success
 
-from vetchusher.emulator import hive_world
-from vetchusher.foragers import choice, claims, request
-from vetchusher.hive import forager
+from vetchusher.discovery import reader
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import NEVER, Source, Told
+from vetchusher.distribution.subscriber import Send, SendPull, Subscriber
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
-from vetchusher.scouts import reader
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.follower import Follower, Send, SendPull
-from vetchusher.waggle.ledger import NEVER, Ledger, Told
+from vetchusher.node import edge_node
+from vetchusher.routing import choice, claims, request
 
-REAL_MERGE, REAL_PLACE = Ledger.merge, choice.Choice._place
-REAL_CONFIGURED = forager.Forager.configuration_came
+from . import world
 
+REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
+REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
 
-def takes_any_news(self: Ledger, told: Told) -> bool:
+
+def takes_any_news(self: Source, told: Told) -> bool:
     """Older or not."""
     if told.whole:
         self.stamp, self.rows, self.gone = NEVER, {}, {}
     return REAL_MERGE(self, told)
 
 
-def takes_any_version(self: forager.Forager, now: int) -> None:
+def takes_any_version(self: edge_node.EdgeNode, now: int) -> None:
     self.version, self.digest = 0, b""
     REAL_CONFIGURED(self, now)
 
 
-def pulls_whatever_differs(self: Follower, now: int, ip: str, vector: Any) -> list[Send]:
+def pulls_whatever_differs(self: Subscriber, now: int, ip: str, vector: Any) -> list[Send]:
     if self.pulling is not None or all(vector.get(n, NEVER) == led.stamp for n, led in self.sources.items()):
         return []
     self.pulls += 1
@@ -61,22 +62,22 @@
         (request.Request, "_give_up", lambda self, now: self._refuse(Kind.NEVER_RAN, "no server took it")),
     ),
     "a cold server's new keeper does not wait": ((reader, "KEPT_WAIT_US", 0),),
-    "a keeper has no lease": ((forager, "KEPT_LEASE_US", 1 << 61),),
+    "a keeper has no lease": ((edge_node, "KEPT_LEASE_US", 1 << 61),),
     "any ingress may send to a cold server": (
         (choice.Choice, "_is_cold", lambda self, now, standing: False),
     ),
     "an ingress takes older news": (
-        (Ledger, "merge", takes_any_news),
-        (Follower, "_pull", pulls_whatever_differs),
-        (forager.Forager, "configuration_came", takes_any_version),
+        (Source, "merge", takes_any_news),
+        (Subscriber, "_pull", pulls_whatever_differs),
+        (edge_node.EdgeNode, "configuration_came", takes_any_version),
     ),
     "denied while not fresh": ((request.Ground, "refusal", lambda self, kind, text: Fault(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
     "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
-    "evacuations are not heeded": ((forager, "evacuated_of", lambda rows: frozenset()),),
-    "disks that sync nothing": ((hive_world.Machine, "save", lambda self, kept: Success(None)),),
+    "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
+    "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
 }
 
 
--- a/vetchusher/emulator/process_loops.py
+++ b/vetchusher/emulator/system/process_loops.py
@@ -17,7 +17,7 @@
 from contextvars import Context
 from typing import Any, TypeVar
 
-from .tier_world import MS, SECOND
+from vetchusher.emulator.fleet_world import MS, SECOND
 
 T = TypeVar("T")
 UNSENT = 1_500 * MS  # bytes without an acknowledgement: the sender gives the connection up
--- a/vetchusher/emulator/hive_stories.py
+++ b/vetchusher/emulator/system/scenarios.py
@@ -17,8 +17,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from .hive_world import COLD_S, Scene, World
-from .tier_world import MS, SECOND
+from vetchusher.emulator.fleet_world import MS, SECOND
+
+from .world import COLD_S, Scene, World
 
 PATIENCE = 15 * SECOND
 LAST = 3 * SECOND  # that a story goes on after its last row
--- a/vetchusher/emulator/hive_search.py
+++ b/vetchusher/emulator/system/search.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable
 from functools import partial
 
-from .hive_stories import ACTS, SERVERS
-from .hive_world import ZONES, Scene, World
-from .tier_world import MS, SECOND
+from vetchusher.emulator.fleet_world import MS, SECOND
+
+from .scenarios import ACTS, SERVERS
+from .world import ZONES, Scene, World
 
 TROUBLE = 10 * SECOND
 CALM = 9 * SECOND
--- a/vetchusher/emulator/hive_servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -10,15 +10,15 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.foragers.claims import Seen
-from vetchusher.foragers.request import Send
-from vetchusher.hive.platform import Platform
-from vetchusher.hive.tries import Got, Matter, Report
+from vetchusher.emulator.fleet_world import MS
 from vetchusher.kinds import Fault, Kind
+from vetchusher.node.attempts import Got, Matter, Report
+from vetchusher.node.platform import Platform
+from vetchusher.routing.claims import Seen
+from vetchusher.routing.request import Send
 
-from .hive_judge import Judge, Place
+from .judge import Judge, Place
 from .process_loops import Net, ProcessLoop
-from .tier_world import MS
 
 QUEUE = 2  # requests beyond its capacity that a server takes
 COLUMNS = ["instance_id", "service", "address", "zone", "version", "capacity", "state", "cold_left_ms"]
@@ -127,7 +127,7 @@
 
 
 class Errands:
-    """The place of `hive.tries.Tries` at one ingress."""
+    """The place of `hive.tries.Attempts` at one ingress."""
 
     def __init__(self, loop: ProcessLoop, servers: Servers) -> None:
         self.loop, self.servers, self.net = loop, servers, servers.net
--- a/vetchusher/emulator/hive_world.py
+++ b/vetchusher/emulator/system/world.py
@@ -2,7 +2,7 @@
 loops of their own, over a network with ways, loss and cuts, with disks, clocks, servers, clients and an
 operator; and the judge of the rules.
 
-The programs' shells run unchanged (`hive.keeper.Keeper`, `hive.forager.Forager` with its front, `hive.paths`)
+The programs' shells run unchanged (`ControlNode`, `EdgeNode` with its proxy, `node.paths`)
 and with them every state machine.  What is played is what lies beyond: sockets to clients and servers, files.
 """
 
@@ -17,25 +17,25 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.comb import Kept
-from vetchusher.comb.store import Copy, Scanned
-from vetchusher.events import Note
-from vetchusher.foragers.request import Head, judge
-from vetchusher.hive import orders
-from vetchusher.hive.forager import Forager
-from vetchusher.hive.front import Flow
-from vetchusher.hive.keeper import Keeper
-from vetchusher.hive.paths import Paths
-from vetchusher.hive.tries import Matter
+from vetchusher.control import PersistentState
+from vetchusher.control.store import Copy, Scanned
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import Source
+from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
+from vetchusher.node import operator_api
+from vetchusher.node.attempts import Matter
+from vetchusher.node.control_node import ControlNode
+from vetchusher.node.edge_node import EdgeNode
+from vetchusher.node.paths import Paths
+from vetchusher.node.proxy import Flow
+from vetchusher.routing.request import Head, judge
 from vetchusher.settings.node import Bounds, Listen, NodeSettings
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.ledger import Ledger
 
-from .hive_judge import Asked, Calm, Judge, Version
-from .hive_servers import Errands, Listing, Servers
+from .judge import Asked, Calm, Judge, Version
 from .process_loops import Clockwork, Net, ProcessLoop
-from .tier_world import MS, SECOND
+from .servers import Errands, Listing, Servers
 
 PORT = 7000
 HOST = "tide.example"
@@ -84,17 +84,17 @@
     zone: str
     core: bool
     rate: float
-    disk: Kept | None = None
-    floor: Kept | None = None
+    disk: PersistentState | None = None
+    floor: PersistentState | None = None
     copy: Copy | None = None
     shelf: dict[str, bytes] = field(default_factory=dict)
     life: int = 0
     ran: bool = False
     loop: ProcessLoop | None = None
-    part: Keeper | Forager | None = None
+    part: ControlNode | EdgeNode | None = None
     calm: Calm = field(default_factory=Calm)
 
-    def save(self, kept: Kept) -> Result[None, Fault]:
+    def save(self, kept: PersistentState) -> Result[None, Fault]:
         if self.loop is not None and self.loop.disk_refuses:
             return Failure(Fault(Kind.BAD_STORE, "the disk refuses"))
         self.disk = kept
@@ -104,13 +104,13 @@
         return Scanned((), True, 0)
 
 
-class DrawnShelf:
-    """The place of `waggle.shelf.Shelf`."""
+class DrawnSnapshotStore:
+    """The place of `waggle.shelf.SnapshotStore`."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
 
-    def load(self, sources: dict[str, Ledger]) -> Result[list[str], Fault]:
+    def load(self, sources: dict[str, Source]) -> Result[list[str], Fault]:
         told = {name: wire.SourceNews.FromString(raw) for name, raw in self.machine.shelf.items()}
         return Success([name for name, news in told.items() if sources[name].take(news)])
 
@@ -268,20 +268,22 @@
         def now() -> int:
             return int(loop.time() * 1e6)
 
-        part: Keeper | Forager
+        part: ControlNode | EdgeNode
         if machine.core:
-            shelf = cast(Any, DrawnShelf(machine))
-            part = Keeper(loop, node, paths, cast(Any, machine), machine.disk, shelf, rng, now, self.note)
+            shelf = cast(Any, DrawnSnapshotStore(machine))
+            part = ControlNode(
+                loop, node, paths, cast(Any, machine), machine.disk, shelf, rng, now, self.note
+            )
             part.platform = Listing(self.servers)
         else:
-            part = Forager(loop, node, paths, rng, now, self.note)
+            part = EdgeNode(loop, node, paths, rng, now, self.note)
             part.front.tries.session.detach()
             part.front.tries = cast(Any, Errands(loop, self.servers))
         machine.part = part
         loop.create_task(paths.open())
         loop.create_task(part.run())
 
-    def note(self, note: Note) -> None:
+    def note(self, note: LogEvent) -> None:
         self.notes[note.event.name] += 1
 
     def end(self, name: str, power: bool) -> None:
@@ -340,7 +342,7 @@
         """Who leads, by its own word."""
         for machine in self.cores:
             part, loop = machine.part, machine.loop
-            if isinstance(part, Keeper) and loop is not None and part.member.holds(part.now()):
+            if isinstance(part, ControlNode) and loop is not None and part.member.holds(part.now()):
                 return machine.name
         return ""
 
@@ -365,7 +367,7 @@
         for region in sorted(set(ZONES.values())):
             machine = self.rng.choice(self.cores)
             part, loop = machine.part, machine.loop
-            if isinstance(part, Keeper) and loop is not None and not loop.frozen:
+            if isinstance(part, ControlNode) and loop is not None and not loop.frozen:
                 names = part.presence.name(part.now(), region, "")
                 named = [one.node for one in part.presence.ingresses.values() if one.front in names]
                 if named:
@@ -403,7 +405,7 @@
     ) -> None:
         """As the front does with a request that has come whole."""
         part = machine.part
-        if not isinstance(part, Forager):
+        if not isinstance(part, EdgeNode):
             return
         headers = [
             ("Host", HOST),
@@ -437,13 +439,15 @@
 
     # -- the operator ----------------------------------------------------------------------------
 
-    def order(self, call: orders.Call, then: Callable[[orders.Answer], None], again: bool = True) -> None:
+    def order(
+        self, call: operator_api.Call, then: Callable[[operator_api.Answer], None], again: bool = True
+    ) -> None:
         """To any core machine that runs, and to another, until one acknowledges it."""
         running = [m for m in self.cores if m.loop is not None and m.loop.alive and not m.loop.frozen]
         machine = self.rng.choice(running) if running else None
         open_ = [True]
 
-        def settled(outcome: Result[orders.Answer, Fault] | None) -> None:
+        def settled(outcome: Result[operator_api.Answer, Fault] | None) -> None:
             if not open_[0]:
                 return
             open_[0] = False
@@ -457,7 +461,7 @@
         if machine is None or machine.loop is None:
             return
         loop, part = machine.loop, machine.part
-        assert isinstance(part, Keeper)
+        assert isinstance(part, ControlNode)
 
         async def settle() -> None:
             outcome = await part.settle(call)
@@ -470,32 +474,34 @@
         self.version = max(self.version, version)
         self.judge.sends(Version(version, services_of(version)))
 
-        def done(_: orders.Answer) -> None:
+        def done(_: operator_api.Answer) -> None:
             self.judge.acknowledged(version)
             then()
 
-        self.order(orders.ReplaceConfiguration(configuration(version)), done)
+        self.order(operator_api.ReplaceConfiguration(configuration(version)), done)
 
     def evacuate(self, zone: str, on: bool, then: Callable[[], None] = lambda: None) -> None:
         if not on:
             self.judge.evacuated.pop(zone, None)
 
-        def done(_: orders.Answer) -> None:
+        def done(_: operator_api.Answer) -> None:
             if on:
                 self.judge.evacuated[zone] = self.clock.at
             then()
 
-        self.order(orders.InitiateEvacuation(zone) if on else orders.TerminateEvacuation(zone), done)
+        self.order(
+            operator_api.InitiateEvacuation(zone) if on else operator_api.TerminateEvacuation(zone), done
+        )
 
     def read_back(self) -> None:
         """At the end of a run, in calm times: what is in force has to come."""
         came: list[int] = []
 
-        def done(answer: orders.Answer) -> None:
-            assert isinstance(answer, orders.Retrieved)
+        def done(answer: operator_api.Answer) -> None:
+            assert isinstance(answer, operator_api.Retrieved)
             came.append(int(json.loads(answer.body)["version"][1:]))
 
-        self.order(orders.RetrieveConfiguration(), done)
+        self.order(operator_api.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
         self.judge.read_back(came[0] if came else None)
--- a/vetchusher/events.py
+++ b/vetchusher/events.py
@@ -1,6 +1,7 @@
 """The numbered events: what the logs of the system say.  docs/events.md explains each.
 
-The hundreds tell the package: 1 hive, 2 comb, 3 waggle, 4 scouts, 5 foragers, 6 entrance, 7 limits.
+The hundreds tell the package: 1 node, 2 control, 3 distribution, 4 discovery,
+5 routing, 6 directory, 7 limits.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
     PRIMARY = 202
     PRIMARY_NO_MORE = 203
     STATE_COMMITTED = 204
-    FORGETFUL = 205
-    REMEMBERED = 206
+    AMNESIAC = 205
+    RECOVERED = 206
     STORE_FAILED = 207
     MEMBER_JOINED = 208
     ORDER_REFUSED = 209
@@ -32,7 +33,7 @@
     COPY_MENDED = 223
     NEWS_TAKEN = 301
     NEWS_UNUSABLE = 302
-    FELLOW_LOST = 303
+    PEER_LOST = 303
     LIST_READ = 401
     LIST_FAILED = 402
     SERVER_RESTED = 501
@@ -47,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogEvent:
     """One line for the log: the event, and its figures."""
 
     event: Event
--- a/vetchusher/limits/tally.py
+++ b/vetchusher/limits/tally.py
@@ -13,8 +13,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from vetchusher.distribution.wire_pb2 import Passed, Push, Total, Totals
 from vetchusher.settings.configuration import Tenant
-from vetchusher.waggle.wire_pb2 import Passed, Push, Total, Totals
 
 from .windows import Bounds, Clock, Pair, Shape, first_of, is_thin, part_of, shape_of
 
--- a/vetchusher/limits/totals.py
+++ b/vetchusher/limits/totals.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
+from vetchusher.distribution.wire_pb2 import Passed, Push, Total, Totals
 from vetchusher.settings.configuration import Tenant
-from vetchusher.waggle.wire_pb2 import Passed, Push, Total, Totals
 
 from .tally import NEVER, STALE_US
 from .windows import Bounds, Counts, Shape, first_of, is_thin, kept_of, shape_of, used_of
--- a/vetchusher/membership/member.py
+++ b/vetchusher/membership/member.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from vetchusher.tier import Envelope, Letter, Tell
+from vetchusher.datagrams import Envelope, Letter, Tell
 
 from . import messages
 from .messages import NOBODY, RECORDS_SEALED, Message, Topic
--- a/vetchusher/membership/messages.py
+++ b/vetchusher/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members write to one another, inside the envelope of `vetchusher.tier`.
+"""What members write to one another, inside the envelope of `vetchusher.datagrams`.
 
     life u48 | beat u32 | flags u8 | errand u16 | about u16 | extra u16
     records:   number u16 | state u8 | life u48 | beat u32 | by u16
--- a/vetchusher/membership/work.py
+++ b/vetchusher/membership/work.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from vetchusher import interface as api
-from vetchusher.tier import Envelope, Letter, Pace, Tell
+from vetchusher.datagrams import Envelope, Letter, Pace, Tell
 
 from .member import Membership
 from .messages import TOPICS
--- a/vetchusher/net/reducer.py
+++ b/vetchusher/net/reducer.py
@@ -41,7 +41,7 @@
 
 
 class Work(Protocol):
-    """What the reducer needs of the work that ingresses share: `vetchusher.tier.parts.Parts`."""
+    """What the reducer needs of the work that ingresses share: `vetchusher.datagrams.parts.Parts`."""
 
     tick_us: int
 
--- a/vetchusher/net/shared.py
+++ b/vetchusher/net/shared.py
@@ -6,9 +6,9 @@
 import time
 from typing import TYPE_CHECKING, Any
 
+from vetchusher.datagrams.parts import Parts
 from vetchusher.duties.work import Work
 from vetchusher.settings.fleet import FleetSettings
-from vetchusher.tier.parts import Parts
 
 from . import effects as fx
 from .config import Config
--- a/vetchusher/hive/__main__.py
+++ b/vetchusher/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m vetchusher.hive`: one process of the system."""
+"""`python3 -m vetchusher.node`: one process of the system."""
 
 import gc
 import os
@@ -16,10 +16,10 @@
     """The platform's own call, `run` alone, is what restarts are made of: it goes round the command line's
     library, a seventh of a start."""
     if argv == ["run"]:
-        from vetchusher.hive.start import start
+        from .start import start
 
         return start(os.environ.get("VETCHUSHER_CONFIG", ""))
-    from vetchusher.hive.cli import main
+    from .cli import main
 
     gc.enable()
     return main(argv)
--- a/vetchusher/hive/applying.py
+++ b/vetchusher/node/applying.py
@@ -7,9 +7,9 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.events import Event, Note
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
-from vetchusher.waggle import wire_pb2 as wire
 
 from .reading import Read, Reading
 
@@ -23,13 +23,13 @@
         self,
         loop: asyncio.AbstractEventLoop,
         reading: Reading,
-        tell: Callable[[wire.CombState, Read | None], None],
-        note: Callable[[Note], None],
+        tell: Callable[[wire.ControlState, Read | None], None],
+        note: Callable[[LogEvent], None],
     ) -> None:
         """:param tell: takes each state that is told with its configuration; None: there is none yet"""
         self.loop, self.reading, self.tell, self.note = loop, reading, tell, note
         self.held: Read | None = None
-        self.waiting: wire.CombState | None = None
+        self.waiting: wire.ControlState | None = None
         self.task: asyncio.Task[None] | None = None
 
     @property
@@ -37,14 +37,14 @@
         """What is told is not all that is committed."""
         return self.task is not None
 
-    def committed(self, state: wire.CombState) -> None:
+    def committed(self, state: wire.ControlState) -> None:
         if self.task is None and self.at_once(state):
             return
         self.waiting = state
         if self.task is None:
             self.task = self.loop.create_task(self.work())
 
-    def at_once(self, state: wire.CombState) -> bool:
+    def at_once(self, state: wire.ControlState) -> bool:
         raw = state.configuration
         if not state.version:
             self.tell(state, None)
@@ -57,13 +57,13 @@
             self.read(state, found)
         return True
 
-    def read(self, state: wire.CombState, found: Result[Read, Fault]) -> None:
+    def read(self, state: wire.ControlState, found: Result[Read, Fault]) -> None:
         match found:
             case Success(read):
                 self.held = read
                 self.tell(state, read)
             case Failure(fault):  # it was checked before it was stored: this program is older
-                self.note(Note(Event.NEWS_UNUSABLE, {"why": fault.text}))
+                self.note(LogEvent(Event.NEWS_UNUSABLE, {"why": fault.text}))
 
     async def work(self) -> None:
         try:
--- a/vetchusher/hive/tries.py
+++ b/vetchusher/node/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at servers.  `Tries` owns each from `start` to its one report; `Links` owns the connections."""
+"""Attempts at servers.  `Attempts` owns each from `start` to its one report; `Links` owns the connections."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from aiohttp.payload import Payload
 from multidict import CIMultiDict
 
-from vetchusher.foragers.claims import Seen, seen_of
-from vetchusher.foragers.headers import ATTEMPT_ID, NOT_EXECUTED, SEAL, Headers, passed_back
-from vetchusher.foragers.request import Send
 from vetchusher.net.links import Link, Links, NeverSent, Streamed, Ways, open_session, sending, target_url
 from vetchusher.net.plain import MOST_BODY
+from vetchusher.routing.claims import Seen, seen_of
+from vetchusher.routing.headers import ATTEMPT_ID, NOT_EXECUTED, SEAL, Headers, passed_back
+from vetchusher.routing.request import Send
 
 from .trust import Trusts
 
@@ -136,7 +136,7 @@
     return made
 
 
-class Tries:
+class Attempts:
     """:param keeps: whether a server is still on the list: connections to the others are not kept"""
 
     def __init__(
--- a/vetchusher/hive/cli.py
+++ b/vetchusher/node/cli.py
@@ -1,4 +1,4 @@
-"""`python3 -m vetchusher.hive`: run a process of the system, check its files, look into its store.
+"""`python3 -m vetchusher.node`: run a process of the system, check its files, look into its store.
 
 Codes: 0 done; 1 it could not serve; 2 the call, or a file that it names, cannot be used.
 """
@@ -93,7 +93,7 @@
     found = fire.Fire(
         Commands,
         command=list(argv),
-        name="vetchusher.hive",
+        name="vetchusher.node",
         serialize=lambda r: None if type(r) is Todo else r,
     )
     return found._do() if isinstance(found, Todo) else 0
--- a/vetchusher/hive/keeper.py
+++ b/vetchusher/node/control_node.py
@@ -8,31 +8,31 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher import comb
-from vetchusher.comb import Member
-from vetchusher.entrance.presence import TTL_S, Presence
-from vetchusher.events import Event, Note
+from vetchusher import control
+from vetchusher.control import Replica
+from vetchusher.directory.presence import TTL_S, Presence
+from vetchusher.discovery.reader import Reader
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.rows import evacuation_rows
+from vetchusher.distribution.snapshot import SnapshotStore, whole
+from vetchusher.distribution.source import NEVER, Source, vector_of
+from vetchusher.distribution.subscriber import Send, Subscriber
+from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.totals import Holder
 from vetchusher.limits.windows import Bounds as QuotaBounds
-from vetchusher.scouts.reader import Reader
 from vetchusher.settings.configuration import Configuration
 from vetchusher.settings.node import NodeSettings
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.follower import Follower, Send
-from vetchusher.waggle.ledger import NEVER, Ledger, vector_of
-from vetchusher.waggle.rows import evacuation_rows
-from vetchusher.waggle.shelf import Shelf, whole
 
-from . import orders
+from . import operator_api
 from .applying import Applying
 from .following import Following
-from .mending import LETTERS, Mending
 from .paths import Channel, Paths
+from .persistence import Persister
 from .platform import Platform
+from .publishing import Publisher
 from .reading import Read, Reading
-from .saving import Saving
-from .telling import Telling
+from .repair import LETTERS, RepairDriver
 
 TICK_S = 0.05
 READ_PAUSE_S = 0.6  # between two whole reads of the list
@@ -43,42 +43,48 @@
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
 
 
-class Keeper:
+class ControlNode:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         node: NodeSettings,
         paths: Paths,
-        store: comb.Store,
-        kept: comb.Kept | None,
-        shelf: Shelf | None,
+        store: control.Store,
+        kept: control.PersistentState | None,
+        shelf: SnapshotStore | None,
         rng: random.Random,
         now: Callable[[], int],
-        note: Callable[[Note], None],
+        note: Callable[[LogEvent], None],
     ) -> None:
         self.loop, self.node, self.paths, self.now, self.note = loop, node, paths, now, note
         seeds = [host for host, _ in node.seed_nodes]
-        self.member = Member(
+        self.member = Replica(
             node.ip_address,
             node.zone,
             seeds,
             node.first_start,
             kept,
-            comb.Timing(),
+            control.Timing(),
             rng,
             now(),
             node.tolerance.machine_losses,
             store.floor,
         )
-        self.saving = Saving(loop, store, self.saved, note)
-        self.mending = Mending(node.ip_address, self.member, self.saving, rng, now, self.feed, self.carry)
+        self.saving = Persister(loop, store, self.saved, note)
+        self.mending = RepairDriver(
+            node.ip_address, self.member, self.saving, rng, now, self.feed, self.carry
+        )
         self.reading = Reading(loop)
         self.presence = Presence()
-        self.comb, self.scouts, self.entrance = Ledger("comb"), Ledger("scouts"), Ledger("entrance")
-        self.sources = {led.source: led for led in (self.comb, self.scouts, self.entrance)}
+        self.control, self.discovery, self.directory = (
+            Source("control"),
+            Source("discovery"),
+            Source("directory"),
+        )
+        self.sources = {led.source: led for led in (self.control, self.discovery, self.directory)}
         # A witness has no copy of the control state: what it tells of it is pulled like the rest.
-        self.follower = Follower(seeds, self.sources, node.ip_address)
-        self.telling = Telling(self.sources)
+        self.follower = Subscriber(seeds, self.sources, node.ip_address)
+        self.telling = Publisher(self.sources)
         self.applying = Applying(loop, self.reading, self.tell_state, note)
         self.configuration: Configuration | None = None
         self.watchers: dict[str, Channel] = {}  # by ip: to whom a grown vector is told unasked
@@ -96,39 +102,39 @@
                 case Success(names):
                     self.shelved = {name: self.sources[name].stamp for name in names}
                 case Failure(fault):
-                    note(Note(Event.STORE_FAILED, {"why": fault.text}))
+                    note(LogEvent(Event.STORE_FAILED, {"why": fault.text}))
 
     # -- inputs of the control state ----------------------------------------------------
 
-    def feed(self, event: comb.Input) -> None:
+    def feed(self, event: control.Input) -> None:
         for output in self.member.handle(self.now(), event):
             self.carry(output)
 
-    def carry(self, output: comb.Output) -> None:
+    def carry(self, output: control.Output) -> None:
         match output:
-            case comb.Tell(to, letter):
-                self.paths.tell(to, wire.Frame(comb=letter))
-            case comb.Save(token, kept):
+            case control.Send(to, message):
+                self.paths.tell(to, wire.Frame(control=message))
+            case control.Persist(token, kept):
                 self.saving.save(token, kept)
-            case comb.Done(number, outcome):
+            case control.Completed(number, outcome):
                 future = self.orders.get(number)
                 if future is not None and not future.done():
                     future.set_result(outcome)
-            case comb.Committed(state):
+            case control.Committed(state):
                 self.applying.committed(state)
-            case Note():
+            case LogEvent():
                 self.note(output)
 
     def saved(self, token: int, good: bool) -> None:
-        self.feed(comb.Saved(token, good))
+        self.feed(control.Persisted(token, good))
 
-    def tell_state(self, state: wire.CombState, read: Read | None) -> None:
+    def tell_state(self, state: wire.ControlState, read: Read | None) -> None:
         """What has become part of the state: rows of the configuration, and zones evacuated."""
         rows: dict[str, bytes] = {}
         if read is not None:
             self.configuration = read.configuration
             rows = {**read.rows, **evacuation_rows({one.zone: one.on for one in state.evacuations})}
-        if self.comb.publish((state.stamp.epoch, state.stamp.seq), rows):
+        if self.control.publish((state.stamp.epoch, state.stamp.seq), rows):
             if self.holder is not None and self.configuration is not None:
                 self.holder.configure(self.now(), self.configuration.tenants)
             self.tell_watchers()
@@ -137,19 +143,23 @@
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
-        if kind == "comb":
-            heard = comb.Heard(frame.sender, frame.zone, frame.comb)
-            if frame.comb.WhichOneof("kind") in LETTERS:
+        if kind == "control":
+            heard = control.Received(frame.sender, frame.zone, frame.control)
+            if frame.control.WhichOneof("kind") in LETTERS:
                 self.mending.heard(heard)
             else:
                 self.feed(heard)
-        elif kind == "beat":
-            for note in self.presence.heard(self.now(), frame.beat):
+        elif kind == "heartbeat":
+            for note in self.presence.heard(self.now(), frame.heartbeat):
                 self.note(note)
-            if frame.beat.ip in self.watchers or len(self.watchers) < MOST_WATCHERS:
-                self.watchers[frame.beat.ip] = channel
-            news = self.telling.news(frame.beat.vector, with_beat=True) if frame.beat.wants_news else b""
-            channel.reply(frame, wire.Frame(beat_heard=self.heard()), news)
+            if frame.heartbeat.ip in self.watchers or len(self.watchers) < MOST_WATCHERS:
+                self.watchers[frame.heartbeat.ip] = channel
+            news = (
+                self.telling.news(frame.heartbeat.vector, with_beat=True)
+                if frame.heartbeat.wants_news
+                else b""
+            )
+            channel.reply(frame, wire.Frame(heartbeat_reply=self.heard()), news)
         elif kind == "pull":
             channel.reply(frame, wire.Frame(), self.telling.news(frame.pull.vector))
         elif kind == "push":
@@ -161,22 +171,22 @@
         elif kind == "order":
             task = self.loop.create_task(self.settle_for(frame, channel))
             task.add_done_callback(lambda done: done.cancelled() or done.exception())
-        elif kind == "beat_heard":
-            self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.beat_heard))
+        elif kind == "heartbeat_reply":
+            self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
 
-    def heard(self) -> wire.BeatHeard:
+    def heard(self) -> wire.HeartbeatReply:
         now = self.now()
-        return wire.BeatHeard(
+        return wire.HeartbeatReply(
             vector=vector_of(self.sources),
             members=self.member.members,
             primary=self.member.primary,
             # Danger: what is committed and not told yet would be taken for old.
-            in_force=self.member.in_force(now, self.comb.stamp) and not self.applying.behind,
+            in_force=self.member.in_force(now, self.control.stamp) and not self.applying.behind,
         )
 
     def tell_watchers(self) -> None:
         """A grown vector, unasked: whoever lacks it pulls at once."""
-        self.tell_all(wire.Frame(beat_heard=self.heard()))
+        self.tell_all(wire.Frame(heartbeat_reply=self.heard()))
 
     def tell_all(self, frame: wire.Frame) -> None:
         self.paths.sign(frame)
@@ -186,39 +196,39 @@
 
     # -- orders -----------------------------------------------------------------------------
 
-    async def settle(self, call: orders.Call) -> Result[orders.Answer, Fault]:
+    async def settle(self, call: operator_api.Call) -> Result[operator_api.Answer, Fault]:
         """An operator's or a client's call at this machine's own doors."""
         match call:
-            case orders.AskResolution(_, region, zone):
+            case operator_api.AskResolution(_, region, zone):
                 fronts = self.presence.name(self.now(), region, zone)
                 if not fronts:
                     return Failure(Fault(Kind.NOT_SETTLED, "no ingress is known here"))
-                return Success(orders.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s)))
-            case orders.ReplaceConfiguration(body):
+                return Success(operator_api.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s)))
+            case operator_api.ReplaceConfiguration(body):
                 checked = await self.reading.read(body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
-                order = comb.Replace(checked.unwrap().version, body)
+                order = control.Replace(checked.unwrap().version, body)
                 passed = wire.OrderAsked(replace=wire.ReplaceConfiguration(body=body))
-                return (await self.decide(order, passed)).map(lambda _: orders.Replaced())
-            case orders.RetrieveConfiguration():
+                return (await self.decide(order, passed)).map(lambda _: operator_api.Replaced())
+            case operator_api.RetrieveConfiguration():
                 passed = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
-                return (await self.decide(comb.Retrieve(), passed)).map(orders.Retrieved)
-            case orders.InitiateEvacuation(zone) | orders.TerminateEvacuation(zone):
+                return (await self.decide(control.Retrieve(), passed)).map(operator_api.Retrieved)
+            case operator_api.InitiateEvacuation(zone) | operator_api.TerminateEvacuation(zone):
                 if zone not in self.node.zones:
                     return Failure(Fault(Kind.NOT_FOUND, f"no zone {zone}"))
-                on = isinstance(call, orders.InitiateEvacuation)
+                on = isinstance(call, operator_api.InitiateEvacuation)
                 passed = wire.OrderAsked(evacuate=wire.Evacuate(zone=zone, on=on))
-                outcome = await self.decide(comb.SetEvacuation(zone, on), passed)
-                return outcome.map(lambda _: orders.EvacuationSet(zone, on))
+                outcome = await self.decide(control.SetEvacuation(zone, on), passed)
+                return outcome.map(lambda _: operator_api.EvacuationSet(zone, on))
         return Failure(Fault(Kind.NOT_FOUND, "no such call"))
 
-    def refused(self, call: orders.Call, fault: Fault) -> None:
+    def refused(self, call: operator_api.Call, fault: Fault) -> None:
         """An operator got no 2xx."""
         told = {"call": type(call).__name__, "status": fault.status, "why": fault.text}
-        self.note(Note(Event.ORDER_REFUSED, told))
+        self.note(LogEvent(Event.ORDER_REFUSED, told))
 
-    async def decide(self, order: comb.Order, passed: wire.OrderAsked) -> Result[bytes, Fault]:
+    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> Result[bytes, Fault]:
         """Settle it here where this is the primary; else pass it on once."""
         if self.member.holds(self.now()):
             return await self.submit(order)
@@ -233,12 +243,12 @@
             return Failure(Fault(kind, answer.done.text, 300_000))
         return Success(answer.done.body)
 
-    async def submit(self, order: comb.Order) -> Result[bytes, Fault]:
+    async def submit(self, order: control.Order) -> Result[bytes, Fault]:
         number, self.next_order = self.next_order, self.next_order + 1
         future: asyncio.Future[Result[bytes, Fault]] = self.loop.create_future()
         self.orders[number] = future
         try:
-            self.feed(comb.Submitted(number, order))
+            self.feed(control.Submitted(number, order))
             return (await future).alt(self.explained)
         finally:
             del self.orders[number]
@@ -260,11 +270,11 @@
                 if isinstance(checked, Failure):
                     outcome = Failure(checked.failure())
                 else:
-                    outcome = await self.submit(comb.Replace(checked.unwrap().version, asked.replace.body))
+                    outcome = await self.submit(control.Replace(checked.unwrap().version, asked.replace.body))
             elif kind == "retrieve":
-                outcome = await self.submit(comb.Retrieve())
+                outcome = await self.submit(control.Retrieve())
             elif kind == "evacuate":
-                outcome = await self.submit(comb.SetEvacuation(asked.evacuate.zone, asked.evacuate.on))
+                outcome = await self.submit(control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on))
         done = wire.OrderDone()
         match outcome:
             case Success(body):
@@ -283,7 +293,7 @@
 
     def tick(self) -> None:
         now = self.now()
-        self.feed(comb.Tick())
+        self.feed(control.Tick())
         self.mending.tick()
         for note in self.presence.sweep(now):
             self.note(note)
@@ -296,7 +306,7 @@
             self.holder.fleet(now, self.presence.may_serve())
             standing = self.holder.standing()
             if standing is not None:
-                self.note(Note(Event.TOTALS_HELD, {"epoch": self.holder.life, **standing}))
+                self.note(LogEvent(Event.TOTALS_HELD, {"epoch": self.holder.life, **standing}))
             self.tell_ingresses()
         self.carry_sends(self.follower.tick(now))
         if self.shelf is not None and (self.shelving is None or self.shelving.done()):
@@ -306,7 +316,7 @@
         named = {*self.member.members, *self.follower.seeds} - {self.node.ip_address}
         self.paths.keep(named)
 
-    async def put_away(self, shelf: Shelf, due: list[Ledger]) -> None:
+    async def put_away(self, shelf: SnapshotStore, due: list[Source]) -> None:
         """Keep what has been told, off the loop; a disk that refuses is tried again after a while."""
         for ledger in due:
             news = whole(ledger)
@@ -314,7 +324,7 @@
                 continue
             outcome = await self.loop.run_in_executor(self.saving.thread, shelf.save, news)
             if isinstance(outcome, Failure):
-                self.note(Note(Event.STORE_FAILED, {"why": outcome.failure().text}))
+                self.note(LogEvent(Event.STORE_FAILED, {"why": outcome.failure().text}))
                 await asyncio.sleep(SHELF_PAUSE_S)
                 return
             self.shelved[ledger.source] = (news.stamp.epoch, news.stamp.seq)
@@ -322,7 +332,7 @@
 
     def begin_duties(self, now: int) -> None:
         epoch = self.member.epoch
-        for name in self.entrance.rows:
+        for name in self.directory.rows:
             self.presence.remember(now, name)
         if self.holder is None:
             bounds = self.node.bounds
@@ -336,24 +346,24 @@
     def tell_ingresses(self) -> None:
         """Who may be serving, as rows: by how many a quota is divided, and who knows whom."""
         rows = self.presence.rows(self.now())
-        if rows != self.entrance.values():
-            epoch, seq = self.entrance.stamp
+        if rows != self.directory.values():
+            epoch, seq = self.directory.stamp
             stamp = (self.member.epoch, seq + 1 if epoch == self.member.epoch else 1)
-            if self.entrance.publish(stamp, rows):
+            if self.directory.publish(stamp, rows):
                 self.tell_watchers()
 
     def end_duties(self) -> None:
         self.holder = None
         if self.duty is not None:
             self.duty.cancel()
-        self.note(Note(Event.TOTALS_LEFT))
+        self.note(LogEvent(Event.TOTALS_LEFT))
 
     def on_duty(self, epoch: int) -> bool:
         return self.member.holds(self.now()) and self.member.epoch == epoch
 
     async def read_list(self, epoch: int) -> None:
         """Read the platform's list, and tell what it says, for as long as the epoch is held."""
-        reader = Reader(self.node.zones, self.scouts.values())
+        reader = Reader(self.node.zones, self.discovery.values())
         seq, told, failed = 0, None, False
         while self.on_duty(epoch):
             began = self.loop.time()
@@ -365,13 +375,15 @@
                     rows: Mapping[str, bytes] = reader.read(entries, serving)
                     if rows != told:
                         seq, told = seq + 1, rows
-                        self.scouts.publish((epoch, seq), rows)
-                        self.note(Note(Event.LIST_READ, {"epoch": epoch, "seq": seq, "servers": len(rows)}))
+                        self.discovery.publish((epoch, seq), rows)
+                        self.note(
+                            LogEvent(Event.LIST_READ, {"epoch": epoch, "seq": seq, "servers": len(rows)})
+                        )
                         self.tell_watchers()
                     failed = False
                 case Failure(fault):
                     if not failed:
-                        self.note(Note(Event.LIST_FAILED, {"why": fault.text}))
+                        self.note(LogEvent(Event.LIST_FAILED, {"why": fault.text}))
                     failed = True
             pause = max(READ_PAUSE_S, self.platform.pause_s)
             await asyncio.sleep(max(0.05, began + pause - self.loop.time()))
@@ -381,9 +393,9 @@
     def carry_sends(self, sends: Sequence[Send]) -> None:
         self.following.carry(sends)
 
-    def beat(self) -> wire.Beat:
+    def heartbeat(self) -> wire.Heartbeat:
         node = self.node
-        return wire.Beat(
+        return wire.Heartbeat(
             node=node.node_name,
             ip=node.ip_address,
             zone=node.zone,
@@ -401,7 +413,7 @@
 
     def leave(self) -> None:
         """Another is to lead, or to hold the copy, at once."""
-        self.feed(comb.Retire())
+        self.feed(control.Retire())
 
     async def close(self, deadline_s: float) -> None:
         """Votes on until others have taken over, for a while.
--- a/vetchusher/hive/forager.py
+++ b/vetchusher/node/edge_node.py
@@ -8,27 +8,27 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.entrance.naming import Entrance, entrances_of, named
-from vetchusher.entrance.neighbours import neighbours, places_of
-from vetchusher.entrance.presence import KEPT_TIMES, TTL_S
-from vetchusher.events import Event, Note
+from vetchusher.directory.naming import Entrance, entrances_of, named
+from vetchusher.directory.neighbours import neighbours, places_of
+from vetchusher.directory.presence import KEPT_TIMES, TTL_S
+from vetchusher.discovery.reader import KEPT_LEASE_US, read_row
+from vetchusher.discovery.server import Server
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.rows import DIGEST, configuration_of, evacuated_of
+from vetchusher.distribution.source import Source, news_for, vector_of
+from vetchusher.distribution.subscriber import Send, Subscriber
+from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
 from vetchusher.limits.windows import Bounds as QuotaBounds
-from vetchusher.scouts.reader import KEPT_LEASE_US, read_row
-from vetchusher.scouts.server import Server
 from vetchusher.settings.configuration import Configuration
 from vetchusher.settings.node import NodeSettings
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.follower import Follower, Send
-from vetchusher.waggle.ledger import Ledger, news_for, vector_of
-from vetchusher.waggle.rows import DIGEST, configuration_of, evacuated_of
 
 from .following import Following
-from .front import Front, Readiness
-from .orders import AskResolution, Resolved
+from .operator_api import AskResolution, Resolved
 from .paths import Channel, Paths
+from .proxy import Proxy, Readiness
 from .reading import LOOP_BYTES, Reading
 
 TICK_S = 0.05
@@ -38,7 +38,7 @@
 MOST_PUSHES = 4  # under way at a time
 
 
-class Forager:
+class EdgeNode:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -46,19 +46,23 @@
         paths: Paths,
         rng: random.Random,
         now: Callable[[], int],
-        note: Callable[[Note], None],
+        note: Callable[[LogEvent], None],
     ) -> None:
         self.loop, self.node, self.paths, self.now, self.note = loop, node, paths, now, note
         self.life = rng.getrandbits(62) | 1
-        self.comb, self.scouts, self.entrance = Ledger("comb"), Ledger("scouts"), Ledger("entrance")
-        self.sources = {led.source: led for led in (self.comb, self.scouts, self.entrance)}
-        self.follower = Follower([host for host, _ in node.seed_nodes], self.sources)
+        self.control, self.discovery, self.directory = (
+            Source("control"),
+            Source("discovery"),
+            Source("directory"),
+        )
+        self.sources = {led.source: led for led in (self.control, self.discovery, self.directory)}
+        self.follower = Subscriber([host for host, _ in node.seed_nodes], self.sources)
         self.following = Following(paths, self.follower, self)
         bounds = node.bounds
         quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
         self.tally = Tally(node.node_name, self.life, bounds=quota)
         self.extra = ExtraTries(bounds.retry_budget_ratio, int(bounds.budget_slack), bounds.budget_window_s)
-        self.front = Front(loop, node, rng, self.tally, self.extra, note)
+        self.front = Proxy(loop, node, rng, self.tally, self.extra, note)
         self.readiness = Readiness(loop, self.ready)
         self.known: dict[str, tuple[bytes, Server]] = {}  # rows as told, and what they say
         self.entrances: list[Entrance] = []  # who serves, as told
@@ -76,22 +80,24 @@
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
-        if kind == "beat_heard":
-            self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.beat_heard))
+        if kind == "heartbeat_reply":
+            self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
         elif kind == "totals":  # unasked
             self.tally.alarm(self.now(), frame.totals)
-        elif kind == "beat":  # a neighbour's, which may be cut off from the core
-            channel.reply(frame, wire.Frame(beat_heard=wire.BeatHeard(vector=vector_of(self.sources))))
+        elif kind == "heartbeat":  # a neighbour's, which may be cut off from the core
+            channel.reply(
+                frame, wire.Frame(heartbeat_reply=wire.HeartbeatReply(vector=vector_of(self.sources)))
+            )
         elif kind == "pull":
             channel.reply(frame, wire.Frame(news=news_for(self.sources, frame.pull.vector)))
 
     def carry_sends(self, sends: Sequence[Send]) -> None:
         self.following.carry(sends)
 
-    def beat(self) -> wire.Beat:
+    def heartbeat(self) -> wire.Heartbeat:
         node, front = self.node, self.node.listen.front
         standing = wire.LEAVING if self.leaving else wire.READY if self.ready() else wire.STARTING
-        return wire.Beat(
+        return wire.Heartbeat(
             node=node.node_name,
             ip=node.ip_address,
             zone=node.zone,
@@ -107,25 +113,25 @@
 
     def news_taken(self, changed: set[str]) -> None:
         now, was_ready = self.now(), self.ready()
-        if "comb" in changed:
+        if "control" in changed:
             self.configuration_came(now)
-        if "entrance" in changed:
-            ingresses = len(self.entrance.rows)
-            self.tally.fleet(now, ingresses, self.node.node_name in self.entrance.rows)
+        if "directory" in changed:
+            ingresses = len(self.directory.rows)
+            self.tally.fleet(now, ingresses, self.node.node_name in self.directory.rows)
             self.extra.fleet(ingresses)
-            rows = self.entrance.values()
+            rows = self.directory.values()
             places, self.entrances = places_of(rows), entrances_of(rows)
             near = {name: at.zone for name, at in places.items() if at.region == self.node.region}
             self.front.ingresses(near)
             self.follower.watch(neighbours(self.node.node_name, self.node.region, places))
-        if "scouts" in changed:
+        if "discovery" in changed:
             self.servers_came(now)
         self.look_fresh(now)
         if self.ready() and not was_ready:
             self.carry_sends(self.follower.beat_now(now))
 
     def configuration_came(self, now: int) -> None:
-        rows = self.comb.values()
+        rows = self.control.values()
         self.front.evacuated(evacuated_of(rows), now)
         if self.reader is None and rows.get(DIGEST) == self.digest:
             return  # an evacuation; the configuration is the one in force
@@ -163,11 +169,11 @@
             case Success():
                 pass
             case fault if "version" in rows:
-                self.note(Note(Event.NEWS_UNUSABLE, {"why": fault.failure().text}))
+                self.note(LogEvent(Event.NEWS_UNUSABLE, {"why": fault.failure().text}))
 
     def servers_came(self, now: int) -> None:
         known: dict[str, tuple[bytes, Server]] = {}
-        for instance, value in self.scouts.values().items():
+        for instance, value in self.discovery.values().items():
             kept = self.known.get(instance)
             if kept is not None and kept[0] == value:
                 known[instance] = kept  # its spans go on from when they were first told
@@ -176,7 +182,7 @@
                 case Success(server):
                     known[instance] = (value, server)
                 case fault:
-                    self.note(Note(Event.NEWS_UNUSABLE, {"why": fault.failure().text}))
+                    self.note(LogEvent(Event.NEWS_UNUSABLE, {"why": fault.failure().text}))
         self.known = known
         self.front.servers([server for _, server in known.values()])
 
@@ -203,7 +209,7 @@
                 task.add_done_callback(self.pushes.discard)
         standing = self.tally.standing(now)
         if standing is not None:
-            self.note(Note(Event.TOTALS_WHOLE if self.tally.stood else Event.TOTALS_LOST, standing))
+            self.note(LogEvent(Event.TOTALS_WHOLE if self.tally.stood else Event.TOTALS_LOST, standing))
         self.paths.keep({*self.follower.contacts, *self.follower.neighbours})
 
     async def settle(self, call: object) -> Result[Resolved, Fault]:
--- a/vetchusher/hive/folders.py
+++ b/vetchusher/node/folders.py
@@ -15,16 +15,16 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.comb import Kept, Store, archive
-from vetchusher.comb.digests import FAN
-from vetchusher.comb.file import NAME, format_told
-from vetchusher.comb.floor import floor_of
+from vetchusher.control import PersistentState, Store, archive
+from vetchusher.control.database_file import NAME, format_told
+from vetchusher.control.digests import FAN
+from vetchusher.control.restore import floor_of
+from vetchusher.distribution.rows import digest
 from vetchusher.kinds import Fault, Kind
 from vetchusher.settings.configuration import read_configuration
-from vetchusher.waggle.rows import digest
 
 Found = TypeVar("Found")
-Look: TypeAlias = Callable[[Store | None, Kept | None, dict[str, int]], Found]
+Look: TypeAlias = Callable[[Store | None, PersistentState | None, dict[str, int]], Found]
 
 
 def checked(folder: str) -> Result[str, Fault]:
@@ -67,7 +67,7 @@
     )
 
 
-def readable(kept: Kept) -> Result[Kept, Fault]:
+def readable(kept: PersistentState) -> Result[PersistentState, Fault]:
     """Danger: a core that begins from a configuration that it cannot read serves nobody."""
     if not kept.state.version:
         return Success(kept)
@@ -78,7 +78,7 @@
     return outcome.alt(lambda fault: Fault(fault.kind, f"{path}: {fault.text}"))
 
 
-def kept_in(folder: str) -> Result[Kept | None, Fault]:
+def kept_in(folder: str) -> Result[PersistentState | None, Fault]:
     """What a folder holds, also as a floor; None: nothing."""
     return looked_at(folder, lambda store, kept, files: kept or (store.floor if store else None))
 
@@ -106,7 +106,7 @@
         store.close()
 
 
-def told(store: Store | None, kept: Kept | None, files: dict[str, int]) -> dict[str, Any] | None:
+def told(store: Store | None, kept: PersistentState | None, files: dict[str, int]) -> dict[str, Any] | None:
     """What people want to know of a folder."""
     held = kept or (store.floor if store is not None else None)
     if store is None or held is None:
--- a/vetchusher/hive/following.py
+++ b/vetchusher/node/following.py
@@ -1,4 +1,4 @@
-"""Carries out what a `Follower` wants sent, and tells it what became of that."""
+"""Carries out what a `Subscriber` wants sent, and tells it what became of that."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from vetchusher.events import Note
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.follower import Follower, Send, SendBeat, SendPull
-from vetchusher.waggle.ledger import all_sorted_out
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import all_sorted_out
+from vetchusher.distribution.subscriber import Send, SendBeat, SendPull, Subscriber
+from vetchusher.events import LogEvent
 
 from .paths import Paths
 from .reading import Reading
@@ -23,10 +23,10 @@
     """Whose beats they are, and who is told of news."""
 
     now: Callable[[], int]
-    note: Callable[[Note], None]
+    note: Callable[[LogEvent], None]
     reading: Reading
 
-    def beat(self) -> wire.Beat: ...
+    def heartbeat(self) -> wire.Heartbeat: ...
 
     def news_taken(self, changed: set[str]) -> None: ...
 
@@ -34,22 +34,26 @@
 class Following:
     """Owner of the questions under way: one beat a core machine, and one pull."""
 
-    def __init__(self, paths: Paths, follower: Follower, standing: Standing) -> None:
+    def __init__(self, paths: Paths, follower: Subscriber, standing: Standing) -> None:
         self.paths, self.follower, self.standing = paths, follower, standing
         self.tasks: set[asyncio.Task[None]] = set()
 
     def carry(self, sends: Sequence[Send]) -> None:
         for send in sends:
-            work = self.beat(send) if isinstance(send, SendBeat) else self.pull(send)
+            work = self.heartbeat(send) if isinstance(send, SendBeat) else self.pull(send)
             task = self.paths.loop.create_task(work)
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def beat(self, send: SendBeat) -> None:
-        sent_at, beat = self.standing.now(), self.standing.beat()
-        beat.wants_news = send.wants_news
-        answer = await self.paths.ask(send.to, wire.Frame(beat=beat), BEAT_S)
-        told = answer.beat_heard if answer is not None and answer.WhichOneof("body") == "beat_heard" else None
+    async def heartbeat(self, send: SendBeat) -> None:
+        sent_at, heartbeat = self.standing.now(), self.standing.heartbeat()
+        heartbeat.wants_news = send.wants_news
+        answer = await self.paths.ask(send.to, wire.Frame(heartbeat=heartbeat), BEAT_S)
+        told = (
+            answer.heartbeat_reply
+            if answer is not None and answer.WhichOneof("body") == "heartbeat_reply"
+            else None
+        )
         if told is not None and told.HasField("news"):
             await self.taken(0, told.news)
         self.carry(self.follower.heard_beat(self.standing.now(), send.to, sent_at, told))
--- a/vetchusher/hive/log.py
+++ b/vetchusher/node/log.py
@@ -9,7 +9,7 @@
 from absl import flags
 from absl import logging as absl_logging
 
-from vetchusher.events import Note
+from vetchusher.events import LogEvent
 
 MOST_LINES = 10  # a second, of one event
 MOST_CHARACTERS = 2_000  # of a line: others choose what some of them quote
@@ -62,5 +62,5 @@
     handler.addFilter(FewOfEach())
 
 
-def write(note: Note) -> None:
+def write(note: LogEvent) -> None:
     absl_logging.get_absl_logger().info("%s", note.line(), extra={"event": note.event})
--- a/vetchusher/hive/paths.py
+++ b/vetchusher/node/paths.py
@@ -14,8 +14,8 @@
 
 from google.protobuf.message import DecodeError
 
-from vetchusher.events import Event, Note
-from vetchusher.waggle import wire_pb2 as wire
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.events import Event, LogEvent
 
 MOST_FRAME = 20 * 1024 * 1024
 MOST_WAITING = 8 * 1024 * 1024  # bytes written to one fellow and not yet sent; what comes then is dropped
@@ -41,9 +41,9 @@
 class Channel(asyncio.Protocol):
     """One connection: bytes in, frames out of them, and back."""
 
-    def __init__(self, paths: Paths, fellow: str = "") -> None:
+    def __init__(self, paths: Paths, peer: str = "") -> None:
         self.paths = paths
-        self.fellow = fellow  # ip of whom this process connected to; empty on an accepted connection
+        self.peer = peer  # ip of whom this process connected to; empty on an accepted connection
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.heard_at = 0.0
@@ -73,7 +73,7 @@
             try:
                 frame = wire.Frame.FromString(raw)
             except DecodeError:
-                self.paths.note(Note(Event.NEWS_UNUSABLE, {"fellow": self.fellow or "accepted"}))
+                self.paths.note(LogEvent(Event.NEWS_UNUSABLE, {"fellow": self.peer or "accepted"}))
                 self.drop()
                 return
             self.paths.received(frame, self)
@@ -99,7 +99,7 @@
             self.transport.abort()
 
 
-class Fellow:
+class Peer:
     """The way to one other process: its connection, or letters that wait for one."""
 
     def __init__(self) -> None:
@@ -108,7 +108,7 @@
         self.again_at = 0.0
         self.patience_s = CONNECT_S
         self.used_at = 0.0  # something was last to be sent
-        self.letters: deque[tuple[float, wire.Frame]] = deque(maxlen=64)
+        self.messages: deque[tuple[float, wire.Frame]] = deque(maxlen=64)
 
 
 class Paths:
@@ -119,13 +119,13 @@
         zone: str,
         port: int,
         serve: Callable[[wire.Frame, Channel], None],
-        note: Callable[[Note], None],
+        note: Callable[[LogEvent], None],
     ) -> None:
         """:param serve: takes each frame that is no answer; answers with `Channel.reply`"""
         self.loop = loop
         self.ip, self.zone, self.port = ip, zone, port
         self.serve, self.note = serve, note
-        self.fellows: dict[str, Fellow] = {}
+        self.peers: dict[str, Peer] = {}
         self.accepted: set[Channel] = set()
         self.calls: dict[int, tuple[asyncio.Future[wire.Frame | None], Channel | None]] = {}
         self.next_call = 1
@@ -140,10 +140,10 @@
     async def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for fellow in self.fellows.values():
-            if fellow.connecting is not None:
-                fellow.connecting.cancel()
-        for channel in [*self.accepted, *(f.channel for f in self.fellows.values() if f.channel)]:
+        for peer in self.peers.values():
+            if peer.connecting is not None:
+                peer.connecting.cancel()
+        for channel in [*self.accepted, *(f.channel for f in self.peers.values() if f.channel)]:
             if channel.transport is not None:
                 channel.transport.close()
 
@@ -153,7 +153,7 @@
     # -- connections ------------------------------------------------------------------
 
     def opened(self, channel: Channel) -> None:
-        if channel.fellow:
+        if channel.peer:
             return
         if len(self.accepted) >= MOST_ACCEPTED:
             channel.drop()
@@ -162,16 +162,16 @@
 
     def closed(self, channel: Channel) -> None:
         self.accepted.discard(channel)
-        fellow = self.fellows.get(channel.fellow)
-        if fellow is not None and fellow.channel is channel:
-            fellow.channel = None
+        peer = self.peers.get(channel.peer)
+        if peer is not None and peer.channel is channel:
+            peer.channel = None
         for number, (future, way) in list(self.calls.items()):
             if way is channel and not future.done():
                 del self.calls[number]
                 future.set_result(None)
 
-    def fellow(self, ip: str) -> Fellow:
-        return self.fellows.setdefault(ip, Fellow())
+    def peer(self, ip: str) -> Peer:
+        return self.peers.setdefault(ip, Peer())
 
     def keep(self, ips: set[str]) -> None:
         """Drop the ways to those that are no longer named by anybody.
@@ -179,42 +179,42 @@
         Danger: a machine that has forgotten all names only its seeds, and has to ask everybody.
         """
         used = self.loop.time() - USED_S
-        for ip in [ip for ip, fellow in self.fellows.items() if ip not in ips and fellow.used_at <= used]:
-            fellow = self.fellows.pop(ip)
-            if fellow.connecting is not None:
-                fellow.connecting.cancel()
-            if fellow.channel is not None:
-                fellow.channel.drop()
+        for ip in [ip for ip, peer in self.peers.items() if ip not in ips and peer.used_at <= used]:
+            peer = self.peers.pop(ip)
+            if peer.connecting is not None:
+                peer.connecting.cancel()
+            if peer.channel is not None:
+                peer.channel.drop()
 
     def reach(self, ip: str) -> Channel | None:
         """The connection to a fellow; where there is none, one is begun."""
-        fellow = self.fellow(ip)
-        fellow.used_at = self.loop.time()
-        if fellow.channel is not None:
-            return fellow.channel
-        if fellow.connecting is None and self.loop.time() >= fellow.again_at:
-            fellow.connecting = self.loop.create_task(self.connect(ip, fellow))
+        peer = self.peer(ip)
+        peer.used_at = self.loop.time()
+        if peer.channel is not None:
+            return peer.channel
+        if peer.connecting is None and self.loop.time() >= peer.again_at:
+            peer.connecting = self.loop.create_task(self.connect(ip, peer))
         return None
 
-    async def connect(self, ip: str, fellow: Fellow) -> None:
+    async def connect(self, ip: str, peer: Peer) -> None:
         # Danger: what asks a machine without power for a connection is lost, and the kernel asks again only
         # after a second, while the machine may be back at once.
         try:
-            async with asyncio.timeout(fellow.patience_s):
+            async with asyncio.timeout(peer.patience_s):
                 _, channel = await self.loop.create_connection(
                     lambda: Channel(self, ip), ip, self.port, local_addr=(self.ip, 0)
                 )
         except (OSError, TimeoutError):
-            fellow.again_at = self.loop.time() + CONNECT_PAUSE_S
-            fellow.patience_s = min(MOST_CONNECT_S, 2 * fellow.patience_s)
-            fellow.letters.clear()
+            peer.again_at = self.loop.time() + CONNECT_PAUSE_S
+            peer.patience_s = min(MOST_CONNECT_S, 2 * peer.patience_s)
+            peer.messages.clear()
             return
         finally:
-            fellow.connecting = None
-        fellow.channel, fellow.patience_s = channel, CONNECT_S
+            peer.connecting = None
+        peer.channel, peer.patience_s = channel, CONNECT_S
         now = self.loop.time()
-        while fellow.letters:
-            stale_at, frame = fellow.letters.popleft()
+        while peer.messages:
+            stale_at, frame = peer.messages.popleft()
             if now < stale_at:
                 channel.write(frame)
 
@@ -227,18 +227,18 @@
         if channel is not None:
             channel.write(frame)
         else:
-            self.fellow(ip).letters.append((self.loop.time() + LETTER_S, frame))
+            self.peer(ip).messages.append((self.loop.time() + LETTER_S, frame))
 
     async def ask(self, ip: str, frame: wire.Frame, patience_s: float) -> wire.Frame | None:
         """The answer, or nothing: no connection, none in time."""
         end = self.loop.time() + patience_s
         channel = self.reach(ip)
         if channel is None:
-            task = self.fellow(ip).connecting
+            task = self.peer(ip).connecting
             if task is None:
                 return None
             await asyncio.wait([task], timeout=patience_s)
-            channel = self.fellow(ip).channel
+            channel = self.peer(ip).channel
             if channel is None:
                 return None
         number, self.next_call = self.next_call, self.next_call + 1
@@ -253,7 +253,7 @@
                 return await future
         except TimeoutError:
             if self.loop.time() - channel.heard_at > SILENT_S:
-                self.note(Note(Event.FELLOW_LOST, {"fellow": ip}))
+                self.note(LogEvent(Event.PEER_LOST, {"fellow": ip}))
                 channel.drop()
             return None
         finally:
--- a/vetchusher/hive/saving.py
+++ b/vetchusher/node/persistence.py
@@ -8,11 +8,11 @@
 
 from returns.result import Success
 
-from vetchusher.comb import Kept, Store
-from vetchusher.events import Event, Note
+from vetchusher.control import PersistentState, Store
+from vetchusher.events import Event, LogEvent
 
 
-class Saving:
+class Persister:
     """Owner of the store while the process runs.  Records are whole: of several the last is written."""
 
     def __init__(
@@ -20,16 +20,16 @@
         loop: asyncio.AbstractEventLoop,
         store: Store,
         saved: Callable[[int, bool], None],
-        note: Callable[[Note], None],
+        note: Callable[[LogEvent], None],
     ) -> None:
         """:param saved: is told each token, and whether its record is on the disk"""
         self.loop, self.store, self.saved, self.note = loop, store, saved, note
-        self.thread = ThreadPoolExecutor(1, "comb")
-        self.waiting: list[tuple[int, Kept]] = []
+        self.thread = ThreadPoolExecutor(1, "control")
+        self.waiting: list[tuple[int, PersistentState]] = []
         self.writing: asyncio.Task[None] | None = None
         self.refused = ""  # why the last record is not on the disk; empty: it is
 
-    def save(self, token: int, kept: Kept) -> None:
+    def save(self, token: int, kept: PersistentState) -> None:
         self.waiting.append((token, kept))
         if self.writing is None:
             self.writing = self.loop.create_task(self.write())
@@ -43,7 +43,7 @@
                 good = isinstance(outcome, Success)
                 self.refused = "" if good else outcome.failure().text
                 if not good:
-                    self.note(Note(Event.STORE_FAILED, {"why": self.refused}))
+                    self.note(LogEvent(Event.STORE_FAILED, {"why": self.refused}))
                 for token in tokens:
                     self.saved(token, good)
         finally:
--- a/vetchusher/hive/platform.py
+++ b/vetchusher/node/platform.py
@@ -7,8 +7,8 @@
 import aiohttp
 from returns.result import Failure, Result, Success
 
+from vetchusher.discovery.reader import Listed, read_page
 from vetchusher.kinds import Fault, Kind
-from vetchusher.scouts.reader import Listed, read_page
 from vetchusher.settings.node import CloudApi
 
 PAGE_S = 1.0  # for one page
--- a/vetchusher/hive/process.py
+++ b/vetchusher/node/process.py
@@ -16,9 +16,9 @@
 import uvloop
 from returns.result import Failure, Success
 
-from vetchusher.events import Event, Note
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.events import Event, LogEvent
 from vetchusher.settings.node import NodeSettings, read_node
-from vetchusher.waggle import wire_pb2 as wire
 
 from .log import write
 from .paths import Channel, Paths
@@ -66,7 +66,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, node: NodeSettings, path: str) -> None:
         self.loop, self.node, self.path = loop, node, path
         self.rng = random.Random(int.from_bytes(os.urandom(8), "big"))
-        self.note: Callable[[Note], None] = write
+        self.note: Callable[[LogEvent], None] = write
         self.paths = Paths(loop, node.ip_address, node.zone, node.internal_ports[0], self.serve, self.note)
         self.parts: list[Part] = []
         self.doors: list[Door] = []
@@ -81,30 +81,30 @@
         """Put together what the settings ask for; a line if that cannot be done."""
         node = self.node
         if node.data_directory:
-            fault = await self.begin_keeper()
+            fault = await self.begin_control()
             if fault:
                 return fault
         if "edge" in node.serves:
-            from .forager import Forager
+            from .edge_node import EdgeNode
 
-            forager = Forager(self.loop, node, self.paths, self.rng, steady_us, self.note)
-            self.parts.append(forager)
-            await forager.open()
+            edge = EdgeNode(self.loop, node, self.paths, self.rng, steady_us, self.note)
+            self.parts.append(edge)
+            await edge.open()
             if node.listen.directory is not None and not node.data_directory:
-                from .orders import DirectoryDoor
+                from .operator_api import DirectoryDoor
 
-                door = DirectoryDoor(forager.settle, node.listen.directory)
+                door = DirectoryDoor(edge.settle, node.listen.directory)
                 self.doors.append(door)
                 door.open()
         await self.paths.open()
         return ""
 
-    async def begin_keeper(self) -> str:
-        from vetchusher.comb import Store
-        from vetchusher.waggle.shelf import Shelf
+    async def begin_control(self) -> str:
+        from vetchusher.control import Store
+        from vetchusher.distribution.snapshot import SnapshotStore
 
-        from .keeper import Keeper
-        from .orders import ControlDoor, DirectoryDoor
+        from .control_node import ControlNode
+        from .operator_api import ControlDoor, DirectoryDoor
 
         node = self.node
         opened = Store.open(node.data_directory, node.limits.disk_mb)
@@ -118,22 +118,24 @@
                 kept = found
             case Failure(fault):
                 # What cannot be read whole is forgotten: this machine votes for nothing until it has learnt.
-                self.note(Note(Event.STORE_FAILED, {"why": fault.text}))
+                self.note(LogEvent(Event.STORE_FAILED, {"why": fault.text}))
                 first_start = False
         if not first_start or store.floor is not None:
             node = replace(node, first_start=False)
-        shelf = Shelf.open(node.data_directory)
+        shelf = SnapshotStore.open(node.data_directory)
         if isinstance(shelf, Failure):
-            self.note(Note(Event.STORE_FAILED, {"why": shelf.failure().text}))
-        keeper = Keeper(
+            self.note(LogEvent(Event.STORE_FAILED, {"why": shelf.failure().text}))
+        control_node = ControlNode(
             self.loop, node, self.paths, store, kept, shelf.value_or(None), self.rng, steady_us, self.note
         )
-        self.parts.append(keeper)
+        self.parts.append(control_node)
         if node.listen.control is not None:
             most = most_configuration(node)
-            self.doors.append(ControlDoor(keeper.settle, node.listen.control, most, keeper.refused))
+            self.doors.append(
+                ControlDoor(control_node.settle, node.listen.control, most, control_node.refused)
+            )
         if node.listen.directory is not None:
-            self.doors.append(DirectoryDoor(keeper.settle, node.listen.directory))
+            self.doors.append(DirectoryDoor(control_node.settle, node.listen.directory))
         for door in self.doors:
             door.open()
         return ""
@@ -149,12 +151,14 @@
             self.loop.add_signal_handler(number, self.stop.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.read_again)
         self.note(
-            Note(Event.STARTED, {"node": self.node.node_name, "serves": ",".join(sorted(self.node.serves))})
+            LogEvent(
+                Event.STARTED, {"node": self.node.node_name, "serves": ",".join(sorted(self.node.serves))}
+            )
         )
         tasks = [self.loop.create_task(part.run()) for part in self.parts]
         tasks.append(self.loop.create_task(self.watch_settings()))
         await self.stop.wait()
-        self.note(Note(Event.STOPPING))
+        self.note(LogEvent(Event.STOPPING))
         end = self.loop.time() + max(0.5, self.node.bounds.grace_s - END_S)
         for part in self.parts:
             part.leave()
@@ -164,7 +168,7 @@
         for task in tasks:
             task.cancel()
         await self.paths.close()
-        self.note(Note(Event.STOPPED))
+        self.note(LogEvent(Event.STOPPED))
         return 0
 
     # -- settings that change ---------------------------------------------------------------
@@ -190,9 +194,9 @@
                 self.node = node
                 for part in self.parts:
                     part.reseed(node)
-                self.note(Note(Event.SETTINGS_READ_AGAIN))
+                self.note(LogEvent(Event.SETTINGS_READ_AGAIN))
             case Failure(fault):
-                self.note(Note(Event.SETTINGS_UNUSABLE, {"why": fault.text}))
+                self.note(LogEvent(Event.SETTINGS_UNUSABLE, {"why": fault.text}))
 
 
 def run(settings: NodeSettings, path: str) -> int:
--- a/vetchusher/hive/front.py
+++ b/vetchusher/node/proxy.py
@@ -1,6 +1,6 @@
 """The clients' side of an ingress: takes requests from sockets and owes each its one answer.
 
-`Front` owns the door, the attempts at servers, and one `Flow` for each request from its head to its answer.
+`Proxy` owns the door, the attempts at servers, and one `Flow` for each request from its head to its answer.
 """
 
 from __future__ import annotations
@@ -17,10 +17,15 @@
 from multidict import CIMultiDict
 from returns.result import Failure
 
-from vetchusher.events import Event, Note
-from vetchusher.foragers.choice import Choice
-from vetchusher.foragers.claims import Seen
-from vetchusher.foragers.request import (
+from vetchusher.discovery.server import Server
+from vetchusher.events import Event, LogEvent
+from vetchusher.kinds import Fault, Kind
+from vetchusher.net.door import Bounds, ClientLink, Door
+from vetchusher.net.links import Streamed
+from vetchusher.net.plain import seconds_text
+from vetchusher.routing.choice import Choice
+from vetchusher.routing.claims import Seen
+from vetchusher.routing.request import (
     Act,
     Answer,
     Budget,
@@ -34,14 +39,9 @@
     WakeAt,
     judge,
 )
-from vetchusher.kinds import Fault, Kind
-from vetchusher.net.door import Bounds, ClientLink, Door
-from vetchusher.net.links import Streamed
-from vetchusher.net.plain import seconds_text
-from vetchusher.scouts.server import Server
 from vetchusher.settings.configuration import ClientLimits, Configuration
 
-from .tries import Attempt, Got, Matter, Tries
+from .attempts import Attempt, Attempts, Got, Matter
 
 log = logging.getLogger("vetchusher")
 
@@ -92,7 +92,7 @@
 class Flow:
     """One request's attempts, until its answer stands.  `close` gives back whatever is still held."""
 
-    def __init__(self, front: Front, request: Request, matter: Matter) -> None:
+    def __init__(self, front: Proxy, request: Request, matter: Matter) -> None:
         self.front = front
         self.request = request
         self.matter = matter
@@ -163,7 +163,7 @@
         answer.body.close()
 
 
-class Front:
+class Proxy:
     """Call `open`, then `configuration` and `servers` as they come; at the end `leave`, then `close`.
 
     :param note: takes the lines for the log
@@ -176,7 +176,7 @@
         rng: random.Random,
         tally: Tally,
         budget: Budget,
-        note: Callable[[Note], None],
+        note: Callable[[LogEvent], None],
     ) -> None:
         self.loop = loop
         self.note = note
@@ -193,7 +193,7 @@
         server = web.Server(self.handle, handler_cancellation=True, request_factory=self.make_request)
         self.door = Door(loop, server, int(places * CLIENTS_PART), Bounds())
         self.most_tries = int(places * (1 - CLIENTS_PART))
-        self.tries = Tries(loop, self.most_tries, self.choice.knows)
+        self.tries = Attempts(loop, self.most_tries, self.choice.knows)
         self.bound()
 
     def now(self) -> int:
@@ -207,7 +207,7 @@
         self.ground.configure(configuration)
         self.limits = configuration.limits
         self.bound()
-        self.note(Note(Event.CONFIGURATION_IN_FORCE, {"version": configuration.version}))
+        self.note(LogEvent(Event.CONFIGURATION_IN_FORCE, {"version": configuration.version}))
 
     def bound(self) -> None:
         bounds, limits = self.door.bounds, self.limits
@@ -250,11 +250,11 @@
         self.door.stop()
         await self.tries.close()
 
-    def figures(self) -> Note:
+    def figures(self) -> LogEvent:
         """How the requests of the last period ended."""
         facts: dict[str, object] = {name: count for name, count in sorted(self.ends.items())}
         self.ends.clear()
-        return Note(
+        return LogEvent(
             Event.REQUESTS, facts | {"open": len(self.tries.attempts), "clients": len(self.door.links)}
         )
 
--- a/vetchusher/hive/telling.py
+++ b/vetchusher/node/publishing.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Iterable, Mapping
 
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.ledger import Ledger, fill_news
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import Source, fill_news
 
 MOST_KEPT = 8  # answers; readers that keep up lack the same, or all
 
 
-class Telling:
+class Publisher:
     """Owner of the answers as bytes of a `Frame`; they go when any source has grown."""
 
-    def __init__(self, sources: Mapping[str, Ledger]) -> None:
+    def __init__(self, sources: Mapping[str, Source]) -> None:
         self.sources = sources
         self.stamps: tuple[tuple[int, int], ...] = ()
         self.kept: dict[tuple[object, ...], bytes] = {}
@@ -31,7 +31,7 @@
         raw = self.kept.get(key)
         if raw is None:
             frame = wire.Frame()
-            news = frame.beat_heard.news if with_beat else frame.news
+            news = frame.heartbeat_reply.news if with_beat else frame.news
             news.SetInParent()
             fill_news(news, self.sources, vector)
             if len(self.kept) >= MOST_KEPT:
--- a/vetchusher/hive/reading.py
+++ b/vetchusher/node/reading.py
@@ -16,11 +16,11 @@
 
 from returns.result import Failure, Result, Success
 
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.rows import configuration_of, rows_of
+from vetchusher.distribution.source import Told, all_sorted_out
 from vetchusher.kinds import Fault, Kind
 from vetchusher.settings.configuration import Configuration, read_configuration
-from vetchusher.waggle import wire_pb2 as wire
-from vetchusher.waggle.ledger import Told, all_sorted_out
-from vetchusher.waggle.rows import configuration_of, rows_of
 
 T = TypeVar("T")
 MOST_WAITING = 8  # configurations that are read or wait for it
--- a/vetchusher/hive/mending.py
+++ b/vetchusher/node/repair.py
@@ -7,31 +7,31 @@
 from collections import deque
 from collections.abc import Callable
 
-from vetchusher import comb
-from vetchusher.comb import Member
-from vetchusher.comb.repair import Fetch, Fetched, Input, Look, Mend, Pace, Repair, Rewrite, Scan
-from vetchusher.comb.state import at
-from vetchusher.events import Event, Note
+from vetchusher import control
+from vetchusher.control import Replica
+from vetchusher.control.repair import Fetch, Fetched, Input, Look, Mend, Pace, Repair, Rewrite, Scan
+from vetchusher.control.state import at
+from vetchusher.events import Event, LogEvent
 
-from .saving import Saving
+from .persistence import Persister
 
 Work = Scan | Fetch | Rewrite | Mend
 MOST_WAITING = 8
 LETTERS = frozenset(("compare", "compared", "rows_asked", "rows_told"))
 
 
-class Mending:
+class RepairDriver:
     """Owner of one `Repair`, and of its work under way in the store's thread: one piece at a time."""
 
     def __init__(
         self,
         me: str,
-        member: Member,
-        saving: Saving,
+        member: Replica,
+        saving: Persister,
         rng: random.Random,
         now: Callable[[], int],
-        feed: Callable[[comb.Input], None],
-        carry: Callable[[comb.Tell | Note], None],
+        feed: Callable[[control.Input], None],
+        carry: Callable[[control.Send | LogEvent], None],
     ) -> None:
         """:param feed: takes inputs of the control state; `carry`: what it would have sent or noted"""
         self.member, self.saving, self.now, self.feed, self.carry = member, saving, now, feed, carry
@@ -46,12 +46,12 @@
         leads = member.holds(self.now())
         self.take(Look(member.primary, leads, at(member.committed), copy, kept.written if kept else None))
 
-    def heard(self, event: comb.Heard) -> None:
+    def heard(self, event: control.Received) -> None:
         self.take(event)
 
     def take(self, event: Input) -> None:
         for out in self.repair.handle(self.now(), event):
-            if isinstance(out, comb.Tell | Note):
+            if isinstance(out, control.Send | LogEvent):
                 self.carry(out)
             elif (
                 not isinstance(out, Fetch) or len(self.waiting) < MOST_WAITING
@@ -77,14 +77,14 @@
                 self.take(Fetched(out, await run(thread, store.rows, out.at, out.leaves)))
             case Rewrite():
                 await run(thread, store.forget)
-                self.feed(comb.Mended(None))
+                self.feed(control.Mended(None))
             case Mend():
                 state = await run(thread, store.mended, out.at, out.leaves, out.rows, out.root)
                 held = self.member.held
                 if state is not None and held is not None and at(held) == out.at:
-                    self.feed(comb.Mended(state))
+                    self.feed(control.Mended(state))
                     facts = {"stamp": out.at, "leaves": len(out.leaves), "rows": len(out.rows)}
-                    self.carry(Note(Event.COPY_MENDED, facts))
+                    self.carry(LogEvent(Event.COPY_MENDED, facts))
 
     def close(self) -> None:
         if self.task is not None:
--- a/vetchusher/foragers/choice.py
+++ b/vetchusher/routing/choice.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from vetchusher.events import Event, Note
-from vetchusher.scouts.server import Server
+from vetchusher.discovery.server import Server
+from vetchusher.events import Event, LogEvent
 from vetchusher.settings.configuration import Service
 
 from .claims import Seen
@@ -290,7 +290,9 @@
         if standing is not None and sent_at in standing.waiting:
             standing.waiting.remove(sent_at)
 
-    def ended(self, now: int, instance: str, seen: Seen, took_us: int, prompt: bool = False) -> Note | None:
+    def ended(
+        self, now: int, instance: str, seen: Seen, took_us: int, prompt: bool = False
+    ) -> LogEvent | None:
         """What came of it.
 
         :param took_us: from sending to the end
@@ -347,7 +349,7 @@
         if not failed:
             self.means[key] = took if key not in self.means else mean + SMOOTH / 2 * (took - mean)
 
-    def _failed(self, now: int, standing: Standing, weight: int) -> Note | None:
+    def _failed(self, now: int, standing: Standing, weight: int) -> LogEvent | None:
         """Rest it after failures in a row, longer each time.
 
         Danger: what looks like many bad servers may be a bad path from here, or a bad kind of request; with
@@ -364,7 +366,7 @@
         standing.rest_us = min(MOST_REST_US, 2 * standing.rest_us or REST_US)
         standing.rest_until = now + standing.rest_us
         standing.failures = FAILURES_IN_ROW - 1  # the next failure rests it again
-        return Note(
+        return LogEvent(
             Event.SERVER_RESTED, {"instance": standing.server.instance, "for_ms": standing.rest_us // 1000}
         )
 
--- a/vetchusher/foragers/request.py
+++ b/vetchusher/routing/request.py
@@ -13,9 +13,9 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.events import Note
+from vetchusher.discovery.server import Server
+from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
-from vetchusher.scouts.server import Server
 from vetchusher.settings.configuration import Configuration, Route, Tenant
 
 from .choice import Choice
@@ -184,7 +184,7 @@
         self.fallback: int | None = None  # an attempt that was answered with a failure
         self.answered: int | None = None  # the attempt whose answer is passed on
         self.done = False
-        self.notes: list[Note] = []  # for the log; whoever carries out the acts takes them
+        self.notes: list[LogEvent] = []  # for the log; whoever carries out the acts takes them
 
     def start(self, now: int) -> list[Act]:
         """The body has come whole: the first try, or why there is none."""
@@ -329,7 +329,7 @@
         wait = int(self.route.target_ms * 100 * (0.5 + self.ground.rng.random()))
         return [Refuse(Fault(kind, text, max(10_000, wait)))]
 
-    def _note(self, note: Note | None) -> None:
+    def _note(self, note: LogEvent | None) -> None:
         if note is not None:
             self.notes.append(note)
 
--- a/vetchusher/settings/fleet.py
+++ b/vetchusher/settings/fleet.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from vetchusher.datagrams import budget
 from vetchusher.duties import Duty, Plan, Timing
-from vetchusher.tier import budget
 
 from .document import read_document
 from .errors import SettingsError
