--- /dev/null
+++ b/tests/test_control_cut_off.py
@@ -0,0 +1,199 @@
+"""A control machine that is cut off or stands still for twenty seconds, in virtual time: it hands out nothing as
+current, confirms nothing, refuses nothing for good (docs/design/control-cut-off.md).
+
+Stories of the control state alone (`emulator/control/scenarios.py`), and of the whole system
+(`emulator/system/scenarios.py`)."""
+
+from dataclasses import replace
+
+from testtools import TestCase
+
+from vetchusher.control import Received, Send
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.emulator.control import mutations as control_mutations
+from vetchusher.emulator.control import scenarios as control_scenarios
+from vetchusher.emulator.control.world import Scene as ControlScene
+from vetchusher.emulator.system.mutations import planted
+from vetchusher.emulator.system.scenarios import Scene, Story
+from vetchusher.emulator.system.world import World
+from vetchusher.node.control_node import LATE_SEND_US
+
+SEEDS = range(1, 6)
+
+# -- the control state alone -----------------------------------------------------------------------
+
+CONTROL = {
+    "leader, both ways, a change waiting as it returns": """
+        s     | 1 east   | 2 east | 3 west | operator
+        0     |          |        |        | r5
+        ack   | cut      |        |        |
+        3     | followed |        |        | r6, evacuate north
+        ack   |          |        |        | r9 at 1 once
+        20    | idle     |        |        | r7, return north
+        20    | joined   |        |        |
+        ack   |          |        |        | reads r7
+    """,
+    "leader hears and is not heard": """
+        s     | 1 east   | 2 east | 3 west | operator
+        0     | mute     |        |        | r5
+        ack   | idle     |        |        | r6
+        20    | joined   |        |        | r7 at 1
+        ack   |          |        |        | reads r7
+    """,
+    "leader is heard and does not hear": """
+        s     | 1 east         | 2 east | 3 west | operator
+        0     | deaf           |        |        | r5
+        ack   | idle, followed |        |        | r6
+        20    | joined         |        |        | r7 at 1
+        ack   |                |        |        | reads r7
+    """,
+    "leader restarted inside the cut, and with it one of the others": """
+        s     | 1 east   | 2 east | 3 west | operator
+        0     | cut      |        |        |
+        3     | followed |        |        | r5
+        ack   | off      |        |        |
+        ack+1 | on       |        |        | r9 at 1 once
+        8     |          | off    |        |
+        9     |          | on     |        | r6
+        20    | idle     |        |        |
+        20    | joined   |        |        | r7
+        ack   |          |        |        | reads r7 at 1
+    """,
+    "backup, one way after the other": """
+        s     | 1 east | 2 east | 3 west | operator
+        0     |        |        | deaf   | r5
+        10    |        |        | joined | r6
+        11    |        |        | mute   | r7
+        21    |        |        | joined | r8
+        ack+6 | off    |        |        | reads r8
+    """,
+    "all from each other": """
+        s     | 1 east | 2 east | 3 west | operator
+        0     | cut    | cut    |        |
+        3     | idle   | idle   | idle   | r5 at 1 once, r6 at 2 once, r7 at 3 once
+        20    | joined | joined |        | r8
+        ack   |        |        |        | reads r8
+    """,
+    "one that starts meanwhile and reaches the cut-off leader only": """
+        s     | 1 east   | 2 east | 3 west | 4 west         | operator
+        0     | x2, x3   |        |        |                |
+        0     |          |        |        | x2, x3, on     |
+        3     | followed |        |        | idle           | r5
+        20    | idle     |        |        | idle           | r6
+        20    | joined   |        |        | joined         |
+        ack+4 | off      |        |        |                | reads r6
+    """,
+    "leader stands still with an order waiting": """
+        s     | 1 east       | 2 east | 3 west | operator
+        0     | stops        |        |        | r5 at 1 once
+        3     | followed     |        |        | r6
+        20    | goes on, cut |        |        |
+        21    | idle         |        |        | r7
+        ack   | joined       |        |        | reads r7
+    """,
+}
+
+
+def control_story(name: str, seed: int) -> list[str]:
+    return control_scenarios.Story(CONTROL[name], ControlScene(seed=seed)).run()
+
+
+class Control(TestCase):
+    def test_nothing_old_is_read_confirmed_or_in_force(self) -> None:
+        wrong = {(name, seed): control_story(name, seed)[:1] for name in CONTROL for seed in SEEDS}
+        self.assertEqual({}, {one: found for one, found in wrong.items() if found})
+
+    def test_guards_taken_out_are_found(self) -> None:
+        for fault, name in {
+            "a lease without end": "leader, both ways, a change waiting as it returns",
+            "any epoch is followed": "leader stands still with an order waiting",
+        }.items():
+            with control_mutations.planted(fault):
+                self.assertTrue(any(control_story(name, seed) for seed in SEEDS), fault)
+
+
+# -- the whole system ------------------------------------------------------------------------------
+
+LEADER = """
+    s     | e1 gulf-a    | e2 gulf-b    | e3 delta-a   | core                                        | servers | operator
+    1     |              |              |              | leader cut from core                        |         |
+    4     |              |              |              | leader reads = 503, leader evacuates = 503  |         | r2
+    ack+2 | /new2/ = 200 | /new2/ = 200 | /new2/ = 200 | leader reads = 503                          |         |
+    ack+2 | /none/ = 404 |              |              | leader unknown zone = 503                   |         | evacuate gulf-b
+    ack+2 |              |              |              | leader returns = 503                        |         | r3
+    ack+2 |              |              |              | primary unknown zone = 404                  |         |
+    20    |              |              |              | leader reads = 503                          |         |
+    21    |              |              |              | leader joined                               |         | r4
+    ack+3 | /new4/ = 200 |              | /new4/ = 200 | leader reads = r4                           |         |
+    ack+3 |              |              |              | leader unknown zone = 404                   |         |
+"""
+LEADER_UNHEARD = LEADER.replace("leader cut from core", "leader unheard      ")
+STANDS_STILL = """
+    s     | e1 gulf-a | e2 gulf-b | e3 delta-a | core                      | servers | operator
+    1     |           |           |            | leader reads stops = 503  |         |
+    4     |           |           |            |                           |         | r2
+    25    |           |           |            | leader unknown zone = 404 |         | r3
+    26    |           |           |            | leader reads = r3         |         |
+"""
+FOLLOWER_STANDS_STILL = """
+    s     | e1 gulf-a | e2 gulf-b | e3 delta-a | core                            | servers | operator
+    1     |           |           |            | backup reads stops = 503        |         |
+    4     |           |           |            |                                 |         | r2
+    25    |           |           |            | backup unknown zone stops = 503 |         |
+    27    |           |           |            |                                 |         | r3
+    50    |           |           |            | backup resolves stops = 503     |         |
+    72    |           |           |            | backup reads = r3               |         |
+"""
+CONFIRMED = """
+    s     | e1 gulf-a | e2 gulf-b | e3 delta-a | core                         | servers | operator
+    1     |           |           |            | leader evacuates stops = 200 |         |
+    4     |           |           |            |                              |         | r2
+"""
+INGRESS_STANDS_STILL = """
+    s     | e1 gulf-a           | e2 gulf-b | e3 delta-a | core | servers | operator
+    1     | stops, /new2/ = 503 |           |            |      |         |
+    2     |                     |           |            |      |         | r2
+    21    | goes on             |           |            |      |         |
+    24    | /new2/ = 200        |           |            |      |         |
+"""
+STARTED_MEANWHILE = """
+    s     | e1 gulf-a | e2 gulf-b                  | e3 delta-a | core                 | servers | operator
+    1     |           | killed                     |            | leader cut from core |         | r2
+    ack   |           |                            |            | all off              |         |
+    ack+1 |           | on                         |            | leader on            |         |
+    ack+4 |           | /none/ = 503               |            | leader reads = 503   |         |
+    20    |           | /none/ = 503, /new2/ = 503 |            | all on               |         |
+    21    |           |                            |            | leader joined        |         | r3
+    ack+3 |           | /none/ = 404, /new3/ = 200 |            |                      |         |
+"""
+SYSTEM = {
+    "leader": LEADER,
+    "leader unheard": LEADER_UNHEARD,
+    "leader stands still": STANDS_STILL,
+    "follower stands still": FOLLOWER_STANDS_STILL,
+    "confirmed before it stood still": CONFIRMED,
+    "ingress stands still": INGRESS_STANDS_STILL,
+    "started meanwhile": STARTED_MEANWHILE,
+}
+
+
+def told(name: str, seed: int) -> list[str]:
+    return Story(SYSTEM[name], Scene(seed=seed)).run()
+
+
+class System(TestCase):
+    def test_nothing_old_leaves_as_current_or_for_good(self) -> None:
+        for name in SYSTEM:
+            for seed in (3, 5):
+                self.assertEqual([], told(name, seed), (name, seed))
+
+    def test_guards_taken_out_are_found(self) -> None:
+        for fault, name in {
+            "a reading leaves whatever came meanwhile": "leader stands still",
+            "a reading passed on has no age": "follower stands still",
+            "a refusal drawn from old settings": "leader",
+            "freshness stands still with the process": "ingress stands still",
+            "a cut-off machine vouches": "started meanwhile",
+        }.items():
+            with planted(fault):
+                self.assertNotEqual([], told(name, 3), fault)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -73,7 +73,7 @@
     port = free_port()
     front.open("127.0.0.1", port)
     front.configuration(configuration(**changed))
-    front.fresh(True)
+    front.fresh_until(1 << 62)
     for server in servers:
         await server.open()
     front.servers([server.row for server in servers])
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -66,7 +66,7 @@
     def __init__(self, *servers, conf=None, purse=None, node="edge-1"):
         choice = Choice(random.Random(3), node, "gulf", ZONES)
         self.purse = purse or Purse()
-        self.ground = Ground(choice, self.purse, self.purse, random.Random(4), fresh=True)
+        self.ground = Ground(choice, self.purse, self.purse, random.Random(4), fresh_until=1 << 60)
         self.choice = choice
         self.ground.configure(conf or configuration(route("safe"), route("once", RouteType.UNSAFE)))
         choice.servers(servers)
@@ -257,7 +257,7 @@
             (over,) = scene.request(**key).start(0)
             self.assertEqual(Kind.OVER_QUOTA, over.fault.kind)
             self.assertTrue(least <= over.fault.retry_after_us <= most, over.fault.retry_after_us)
-        scene.ground.fresh = False
+        scene.ground.fresh_until = -1
         for target, headers in (("/none/1", key), ("/safe/1", {})):
             fault = scene.judge(target, **headers).failure()
             self.assertEqual((503, True), (fault.status, fault.retry_after_us > 0))
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -26,6 +26,7 @@
     :param drop_copy_us: for how long one that was replaced keeps its copy
     :param heard_us: who was heard within it is up
     :param stopped_us: a machine that ran nothing for so long stood still; ticks come ten times as often
+    :param unheard_us: a primary that has heard no majority for so long renews nobody's lease until it does
     :param regain_us: how long a primary whose lease ran out goes on asking before it gives up its epoch
     :param candidate_backoff_us: after a promise, no other candidate is encouraged for so long
     :param anew_us: when nobody remembers anything at all: how long to look for somebody before beginning anew
@@ -42,6 +43,7 @@
     drop_copy_us: int = 5_000_000
     heard_us: int = 1_000_000
     stopped_us: int = 500_000
+    unheard_us: int = 700_000
     regain_us: int = 300_000
     candidate_backoff_us: int = 400_000
     pause_us: int = 200_000
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -19,6 +19,7 @@
     LeaseRenewalReply,
     ReplicaSet,
     Stamp,
+    VoteRequest,
     Write,
     WriteReply,
 )
@@ -29,7 +30,7 @@
 from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
 from .progress import Peers, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, Point, at, changed, ordered, stamp, without_configuration
+from .state import START, Point, at, changed, enough, ordered, stamp, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
 MOST_LEARNERS = 8
@@ -75,6 +76,7 @@
         self.reading: list[Waiting] = []
         self.led = False  # the lease was held at least once
         self.lapsed_at: int | None = None
+        self.probing = False  # the last renewal was a question only
 
     # -- the lease -----------------------------------------------------------------------------
 
@@ -97,8 +99,16 @@
         )  # the first answers take their time
         return now >= self.lapsed_at + grace
 
+    def renewal_due(self, now: int) -> bool:
+        """At once when a majority is heard again."""
+        regained = self.probing and not self.unheard(now)
+        return regained or now >= self.renewed_at + self.timing.renew_us
+
     def renew(self, now: int) -> list[Output]:
         self.renewed_at = now
+        self.probing = self.unheard(now)
+        if self.probing:
+            return self.probe()
         round_ = self.progress.next_round(now)
         renew = LeaseRenewal(
             epoch=self.epoch, round=round_, committed=self.told(now), record=self.reconfiguration.newest()
@@ -107,6 +117,22 @@
         readers = [*self.reconfiguration.everybody(), *self.progress.learners]
         return [Send(ip, message) for ip in readers] + self.drop(now)
 
+    def unheard(self, now: int) -> bool:
+        """No majority of the members has been heard lately: nothing it says can bring it a lease.
+
+        Danger: one that is heard and hears nobody would keep the others from another primary.
+        """
+        heard_at = self.peers.heard_at
+        since = now - self.timing.unheard_us
+        others = self.reconfiguration.everybody()
+        heard = {ip for ip in others if max(self.began, heard_at.get(ip, 0)) > since} | {self.peers.me}
+        return not all(enough(members, heard) for members in self.reconfiguration.electorates())
+
+    def probe(self) -> list[Output]:
+        """A question that anybody answers and that gives no lease."""
+        message = ControlMessage(ask=VoteRequest(epoch=0))
+        return [Send(ip, message) for ip in self.reconfiguration.everybody()]
+
     def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
         if answer.epoch == self.epoch:
             self.progress.renewed(sender, answer)
--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -228,7 +228,7 @@
             primary.progress.forget_learners(now)
             if primary.gone(now):
                 self.step_down("its lease ran out")
-            elif now >= primary.renewed_at + self.timing.renew_us:
+            elif primary.renewal_due(now):
                 self.out += primary.renew(now)
         elif candidate is not None:
             if candidate.over(now):
--- a/vetchusher/distribution/subscriber.py
+++ b/vetchusher/distribution/subscriber.py
@@ -65,6 +65,7 @@
         self.sources = dict(sources)
         self.seeds: tuple[str, ...] = ()
         self.members: tuple[str, ...] = ()
+        self.hinted: tuple[str, ...] = ()  # named by machines without a majority, while nobody else was heard
         self.contacts: dict[str, Contact] = {}
         self.neighbours: dict[str, Contact] = {}
         self.pulling: tuple[int, str, int] | None = None  # number, from whom, since when (us)
@@ -76,7 +77,8 @@
         self._keep_contacts()
 
     def _keep_contacts(self) -> None:
-        wanted = [ip for ip in dict.fromkeys((*self.members, *self.seeds)) if ip != self.me][:MOST_CONTACTS]
+        named = dict.fromkeys((*self.members, *self.seeds, *self.hinted))
+        wanted = [ip for ip in named if ip != self.me][:MOST_CONTACTS]
         self.contacts = {ip: self.contacts.get(ip) or Contact() for ip in wanted}
 
     def watch(self, ips: Iterable[str]) -> None:
@@ -122,15 +124,36 @@
             return []
         contact.heard_at = max(contact.heard_at, sent_at)
         vector = {at.source: stamp_of(at.stamp) for at in answer.vector}
-        if answer.in_force and ip in self.contacts:
-            contact.in_force_at, contact.in_force = max(contact.in_force_at, sent_at), vector
-            contact.primary = answer.primary
-            members = tuple(answer.members)
-            if members and members != self.members and sent_at >= self._newest_in_force():
-                self.members = members
-                self._keep_contacts()
+        if ip in self.contacts:
+            if answer.in_force:
+                self._in_force(contact, sent_at, answer, vector)
+            elif not self.members:
+                self._hint(answer.members)
         return self._pull(now, ip, vector)
 
+    def _in_force(
+        self, contact: Contact, sent_at: int, answer: wire.HeartbeatReply, vector: dict[str, Stamped]
+    ) -> None:
+        """Danger: a vector told unasked may have waited behind a cut: it only raises what was told."""
+        if sent_at < contact.in_force_at:
+            vector = {n: max(vector.get(n, NEVER), contact.in_force.get(n, NEVER)) for n in self.sources}
+        contact.in_force_at, contact.in_force = max(contact.in_force_at, sent_at), vector
+        contact.primary = answer.primary
+        members = tuple(answer.members)
+        if members and members != self.members and sent_at >= self._newest_in_force():
+            self.members, self.hinted = members, ()
+            self._keep_contacts()
+
+    def _hint(self, members: Iterable[str]) -> None:
+        """A process that knows a cut-off machine only asks those that this one names as well.
+
+        They may be long gone: what they say counts only with a majority behind it, like any other's.
+        """
+        hinted = tuple(dict.fromkeys((*self.hinted, *members)))[:MOST_CONTACTS]
+        if hinted != self.hinted:
+            self.hinted = hinted
+            self._keep_contacts()
+
     def _newest_in_force(self) -> int:
         return max((c.in_force_at for c in self.contacts.values()), default=-(1 << 60))
 
@@ -164,9 +187,18 @@
 
     def fresh(self, now: int) -> bool:
         """Whether what is held of the control state is what is in force, as of FRESH_US ago at the latest."""
+        return now <= self.fresh_until(now)
+
+    def fresh_until(self, now: int) -> int:
+        """Until when that is so if nothing more is heard; before `now`: it is not.
+
+        Danger: a yes that was found before this process stood still would count on for ever.
+        """
         answers = [c for c in self.contacts.values() if now - c.in_force_at <= FRESH_US]
         held = self.sources["control"].stamp
-        return bool(answers) and all(c.in_force.get("control", NEVER) <= held for c in answers)
+        if not all(c.in_force.get("control", NEVER) <= held for c in answers):
+            return now - 1
+        return max((c.in_force_at + FRESH_US for c in answers), default=now - 1)
 
     def primary_heard_at(self, now: int) -> int:
         """When the beat was sent (us) to which the primary last said that it holds."""
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -8,9 +8,9 @@
 
 All machines have started when the first row begins, and the first is the primary.  `ack` is when the order
 above was acknowledged (or the reading answered).  A machine's cell: see `ACTS`, or `x2`, `=2` (its link to
-2 is cut, joined), or what is to be seen there: `leads`, `idle`, `copy`, `none`.  The operator sends each
-order again until it is acknowledged; a story that has not ended by itself `PATIENCE` after a row that waits
-has failed.
+2 is cut, joined), or what is to be seen there: `leads`, `idle`, `followed` (another leads), `copy`, `none`.
+The operator sends each order again until it is acknowledged; a story that has not ended by itself `PATIENCE`
+after a row that waits has failed.
 """
 
 from __future__ import annotations
@@ -116,6 +116,9 @@
         elif act in ("leads", "idle"):
             if world.holds(ip) != (act == "leads"):
                 world.judge.say(f"machine {ip} is not as told: {act}")
+        elif act == "followed":
+            if not any(world.holds(other) for other in world.machines.keys() - {ip}):
+                world.judge.say(f"machine {ip} is not as told: {act}")
         elif act in ("copy", "none"):
             disk = world.machines[ip].disk
             if (disk is not None and disk.copy) != (act == "copy"):
--- a/vetchusher/emulator/system/judge.py
+++ b/vetchusher/emulator/system/judge.py
@@ -19,6 +19,7 @@
 # Stricter than the rule, which binds machines in touch only: by the design no machine denies by what was
 # overtaken longer ago than a primary's lease, a beat's answer and the freshness of it last together.
 DENIED_US = 5 * SECOND
+HANDED_OUT_US = 2 * SECOND  # a reading is no older: the lease behind it, or the time since it was passed on
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,6 +111,13 @@
         """The highest version acknowledged by then."""
         return max((number for when, number in self.acks if when <= at), default=0)
 
+    def read_out(self, machine: str, number: int) -> None:
+        """A core machine handed that version out just now, as the one in force."""
+        if number < self.floor(self.at - HANDED_OUT_US):
+            self.say(
+                "OLD", f"{machine} handed r{number} out, r{self.floor(self.at)} was acknowledged long ago"
+            )
+
     def read_back(self, number: int | None) -> None:
         """At the end: the version that came, None where none did."""
         if number is None or number < self.floor(self.at):
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -16,13 +16,14 @@
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
-from vetchusher.node import edge_node
+from vetchusher.node import control_node, edge_node, operator_api, proxy
 from vetchusher.routing import choice, claims, request
 
 from . import world
 
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
+LONG = 1 << 61
 
 
 def takes_any_news(self: Source, told: Told) -> bool:
@@ -54,6 +55,11 @@
             regions.setdefault(standing.region, []).append(standing)
 
 
+def fresh_for_good(self: proxy.Proxy, until: int) -> None:
+    """Until the next look says otherwise."""
+    self.ground.fresh_until = LONG if until >= self.now() else -1
+
+
 PLANTED: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "what may have run is sent again": (
         (request, "what_next", lambda seen, repeatable: claims.what_next(seen, True)),
@@ -71,12 +77,19 @@
         (Subscriber, "_pull", pulls_whatever_differs),
         (edge_node.EdgeNode, "configuration_came", takes_any_version),
     ),
-    "denied while not fresh": ((request.Ground, "refusal", lambda self, kind, text: Fault(kind, text)),),
+    "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Fault(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
     "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
+    "a reading leaves whatever came meanwhile": (
+        (operator_api.Backed, "leaving", lambda self: self.outcome),
+    ),
+    "a reading passed on has no age": ((control_node, "PASSED_READING_US", LONG),),
+    "a refusal drawn from old settings": ((control_node.ControlNode, "in_force", lambda self, now: True),),
+    "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
+    "a cut-off machine vouches": ((control_node.ControlNode, "in_force", lambda self, now: True),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
 }
 
--- a/vetchusher/emulator/system/scenarios.py
+++ b/vetchusher/emulator/system/scenarios.py
@@ -8,8 +8,9 @@
 
 All machines have started and r1 is in force when the first row begins.  `ack` is when the order above was
 acknowledged.  An ingress's cell: see `ACTS`, or `PATH = STATUS`, a request made there at that moment and how
-it must be answered (`200 503`: either).  The core's cell: `NAME ACT`, a name being a machine's, `all` or
-`primary`.
+it must be answered (`200 503`: either).  The core's cell: `NAME ACT`, a name being a machine's, `all`,
+`primary` (who leads now), `leader` or `backup` (who led as the story began, and one that did not); or `NAME CALL = ANSWER`, see `CALLS`, asked there at that moment (`CALL stops`: the machine stands
+still for `STOPPED` between the decision and the answer).
 """
 
 from __future__ import annotations
@@ -17,12 +18,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
+from returns.result import Failure, Result
+
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.kinds import Fault
+from vetchusher.node import operator_api
 
-from .world import COLD_S, Scene, World
+from .world import COLD_S, Scene, World, version_of
 
 PATIENCE = 15 * SECOND
 LAST = 3 * SECOND  # that a story goes on after its last row
+STOPPED = 20 * SECOND
+CALLS: dict[str, operator_api.Call] = {
+    "reads": operator_api.RetrieveConfiguration(),  # answered by `r5`, or a status
+    "unknown zone": operator_api.InitiateEvacuation("nowhere"),
+    "evacuates": operator_api.InitiateEvacuation("delta-b"),
+    "returns": operator_api.TerminateEvacuation("delta-b"),
+    "resolves": operator_api.AskResolution("", "gulf", ""),
+}
 
 
 def others(world: World, name: str, core: bool) -> list[str]:
@@ -66,14 +79,6 @@
     return "a" if world.servers.at_address[ip].service != "a" else "b"
 
 
-def core_act(world: World, cell: str) -> None:
-    who, _, act = cell.partition(" ")
-    names = [m.name for m in world.cores] if who == "all" else [world.primary() if who == "primary" else who]
-    for name in names:
-        if name:
-            ACTS[act](world, name)
-
-
 @dataclass(slots=True, frozen=True)
 class Row:
     after_ack: bool
@@ -84,6 +89,13 @@
     operator: list[str]
 
 
+def answer_of(outcome: Result[operator_api.Answer, Fault]) -> str:
+    if isinstance(outcome, Failure):
+        return str(outcome.failure().status)
+    answer = outcome.unwrap()
+    return f"r{version_of(answer)}" if isinstance(answer, operator_api.Retrieved) else "200"
+
+
 def several(cell: str) -> list[str]:
     return [part.strip() for part in cell.split(",") if part.strip()]
 
@@ -109,7 +121,7 @@
 
 
 class Story:
-    """Owner of the world, and of the orders that are not yet acknowledged."""
+    """Owner of the world, of the orders not yet acknowledged, and of the core's calls not yet answered."""
 
     def __init__(self, text: str, scene: Scene) -> None:
         zones, self.rows = rows(text)
@@ -117,6 +129,10 @@
         self.world.warm_up()
         self.began = self.ack_at = self.world.clock.at
         self.open = 0
+        self.unanswered: list[str] = []
+        leader = self.world.primary()
+        others = [machine.name for machine in self.world.cores if machine.name != leader]
+        self.roles = {"leader": leader, "backup": others[0]}
 
     def run(self) -> list[str]:
         """What was seen that may not be."""
@@ -128,7 +144,10 @@
             for name, cell in row.ingresses:
                 self.ingress(name, cell)
             for cell in row.core:
-                core_act(world, cell)
+                if " = " in cell:
+                    self.core_call(cell)
+                else:
+                    self.core_act(cell)
             for cell in row.servers:
                 act, _, what = cell.partition(" ")
                 SERVERS[act](world, what)
@@ -137,6 +156,8 @@
         self.wait()
         world.run(world.clock.at + LAST)
         world.read_back()
+        for cell in self.unanswered:
+            world.judge.say("STORY", f"{cell} was not answered")
         return world.wrong()
 
     def wait(self) -> None:
@@ -158,6 +179,30 @@
 
         self.world.ask(name, path, then=told)
 
+    def machine(self, who: str) -> str:
+        return self.world.primary() if who == "primary" else self.roles.get(who, who)
+
+    def core_act(self, cell: str) -> None:
+        who, _, act = cell.partition(" ")
+        names = [m.name for m in self.world.cores] if who == "all" else [self.machine(who)]
+        for name in names:
+            if name:
+                ACTS[act](self.world, name)
+
+    def core_call(self, cell: str) -> None:
+        asked, _, expected = cell.partition(" = ")
+        who, _, what = asked.partition(" ")
+        call, stops, _ = what.partition(" stops")
+        name = self.machine(who)
+
+        def told(outcome: Result[operator_api.Answer, Fault]) -> None:
+            self.unanswered.remove(cell)
+            if answer_of(outcome) not in expected.split():
+                self.world.judge.say("STORY", f"{asked} was answered {answer_of(outcome)}, not {expected}")
+
+        self.unanswered.append(cell)
+        self.world.call(name, CALLS[call], told, STOPPED if stops else 0)
+
     def order(self, text: str) -> None:
         """`r5`, `evacuate ZONE`, `return ZONE`; `r5 once`: nobody waits for it."""
         text, once, _ = text.partition(" once")
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import random
 from collections import Counter
@@ -158,6 +159,11 @@
     return json.dumps(whole).encode()
 
 
+def version_of(answer: operator_api.Answer) -> int:
+    assert isinstance(answer, operator_api.Retrieved)
+    return int(json.loads(answer.body)["version"][1:])
+
+
 class World:
     """Owner of the machines, and of requests and orders under way."""
 
@@ -465,7 +471,38 @@
 
         async def settle() -> None:
             outcome = await part.settle(call)
-            self.clock.after(MS, lambda: settled(outcome))
+            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            self.clock.after(MS, lambda: settled(told))
+
+        loop.call_soon(lambda: loop.create_task(settle()))
+
+    def call(
+        self,
+        name: str,
+        call: operator_api.Call,
+        then: Callable[[Result[operator_api.Answer, Fault]], None],
+        stands_still: int = 0,
+    ) -> None:
+        """At one core machine, by a caller who waits as long as it takes.
+
+        :param then: is told what left the machine
+        :param stands_still: us for which the machine does, between the decision and the answer
+        """
+        machine = self.machines[name]
+        loop, part = machine.loop, machine.part
+        assert loop is not None and isinstance(part, ControlNode)
+
+        async def settle() -> None:
+            outcome = await part.settle(call)
+            if stands_still:
+                self.freeze(name, True)
+                self.clock.after(stands_still, lambda: self.freeze(name, False))
+                await asyncio.sleep(0)
+            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            self.judge.at = self.clock.at
+            if isinstance(told, Success) and isinstance(told.unwrap(), operator_api.Retrieved):
+                self.judge.read_out(name, version_of(told.unwrap()))
+            then(told)
 
         loop.call_soon(lambda: loop.create_task(settle()))
 
@@ -498,8 +535,7 @@
         came: list[int] = []
 
         def done(answer: operator_api.Answer) -> None:
-            assert isinstance(answer, operator_api.Retrieved)
-            came.append(int(json.loads(answer.body)["version"][1:]))
+            came.append(version_of(answer))
 
         self.order(operator_api.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -37,6 +37,9 @@
 TICK_S = 0.05
 READ_PAUSE_S = 0.6  # between two whole reads of the list
 PASS_ON_S = 2.5  # for the primary's answer to an order passed on
+PASSED_READING_US = 1_000_000  # since it was passed on: what came of it is given out no later
+NAMED_US = 1_000_000  # since ingresses were looked up: the same of the directory's answers
+LATE_SEND_US = 500_000  # since it was decided: what was not sent by then is not sent at all
 MOST_WATCHERS = 2048
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
 LAST_VOTE_S = 0.5  # for others to take over when this one ends
@@ -107,8 +110,12 @@
     # -- inputs of the control state ----------------------------------------------------
 
     def feed(self, event: control.Input) -> None:
-        for output in self.member.handle(self.now(), event):
-            self.carry(output)
+        """Danger: this machine may stand still at any point; a message that says what is committed under a
+        lease of before is lost rather than sent late, as any message may be."""
+        decided_at = self.now()
+        for output in self.member.handle(decided_at, event):
+            if not isinstance(output, control.Send) or self.now() <= decided_at + LATE_SEND_US:
+                self.carry(output)
 
     def carry(self, output: control.Output) -> None:
         match output:
@@ -181,9 +188,13 @@
             members=self.member.members,
             primary=self.member.primary,
             # Danger: what is committed and not told yet would be taken for old.
-            in_force=self.member.in_force(now, self.control.stamp) and not self.applying.behind,
+            in_force=self.in_force(now) and not self.applying.behind,
         )
 
+    def in_force(self, now: int) -> bool:
+        """Whether a majority stands behind what is told here."""
+        return self.member.in_force(now, self.control.stamp)
+
     def tell_watchers(self) -> None:
         """A grown vector, unasked: whoever lacks it pulls at once."""
         self.tell_all(wire.Frame(heartbeat_reply=self.heard()))
@@ -196,42 +207,66 @@
 
     # -- orders -----------------------------------------------------------------------------
 
-    async def settle(self, call: operator_api.Call) -> Result[operator_api.Answer, Fault]:
+    async def settle(
+        self, call: operator_api.Call
+    ) -> Result[operator_api.Answer, Fault] | operator_api.Backed:
         """An operator's or a client's call at this machine's own doors."""
         match call:
             case operator_api.AskResolution(_, region, zone):
-                fronts = self.presence.name(self.now(), region, zone)
-                if not fronts:
-                    return Failure(Fault(Kind.NOT_SETTLED, "no ingress is known here"))
-                return Success(operator_api.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s)))
+                return self.resolve(region, zone)
             case operator_api.ReplaceConfiguration(body):
                 checked = await self.reading.read(body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
                 order = control.Replace(checked.unwrap().version, body)
                 passed = wire.OrderAsked(replace=wire.ReplaceConfiguration(body=body))
-                return (await self.decide(order, passed)).map(lambda _: operator_api.Replaced())
+                return acknowledged(await self.decide(order, passed), operator_api.Replaced())
             case operator_api.RetrieveConfiguration():
                 passed = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
-                return (await self.decide(control.Retrieve(), passed)).map(operator_api.Retrieved)
+                read = await self.decide(control.Retrieve(), passed)
+                return operator_api.Backed(read.outcome.map(operator_api.Retrieved), read.lasts)
             case operator_api.InitiateEvacuation(zone) | operator_api.TerminateEvacuation(zone):
                 if zone not in self.node.zones:
-                    return Failure(Fault(Kind.NOT_FOUND, f"no zone {zone}"))
+                    return self.no_zone(zone)
                 on = isinstance(call, operator_api.InitiateEvacuation)
                 passed = wire.OrderAsked(evacuate=wire.Evacuate(zone=zone, on=on))
-                outcome = await self.decide(control.SetEvacuation(zone, on), passed)
-                return outcome.map(lambda _: operator_api.EvacuationSet(zone, on))
+                decided = await self.decide(control.SetEvacuation(zone, on), passed)
+                return acknowledged(decided, operator_api.EvacuationSet(zone, on))
         return Failure(Fault(Kind.NOT_FOUND, "no such call"))
 
+    def resolve(self, region: str, zone: str) -> Result[operator_api.Answer, Fault] | operator_api.Backed:
+        """Ingresses that were heard here lately: this machine's own hearing, whoever leads."""
+        looked_at = self.now()
+        fronts = self.presence.name(looked_at, region, zone)
+        if not fronts:
+            return Failure(Fault(Kind.NOT_SETTLED, "no ingress is known here"))
+        answer = operator_api.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s))
+        return operator_api.Backed(Success(answer), lambda: self.now() <= looked_at + NAMED_US)
+
+    def no_zone(self, zone: str) -> operator_api.Backed:
+        """Danger: a cut-off machine's settings may be older than the zone, and a 404 ends an order."""
+        unknown = Failure(Fault(Kind.NOT_FOUND, f"no zone {zone}"))
+        return operator_api.Backed(unknown, lambda: self.in_force(self.now()))
+
     def refused(self, call: operator_api.Call, fault: Fault) -> None:
         """An operator got no 2xx."""
         told = {"call": type(call).__name__, "status": fault.status, "why": fault.text}
         self.note(LogEvent(Event.ORDER_REFUSED, told))
 
-    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> Result[bytes, Fault]:
+    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> operator_api.Backed:
         """Settle it here where this is the primary; else pass it on once."""
         if self.member.holds(self.now()):
-            return await self.submit(order)
+            return await self.decide_here(order)
+        passed_at = self.now()
+        outcome = await self.pass_on(passed)
+        return operator_api.Backed(outcome, lambda: self.now() <= passed_at + PASSED_READING_US)
+
+    async def decide_here(self, order: control.Order) -> operator_api.Backed:
+        """By the epoch that this machine holds; it lasts as long as that is held."""
+        epoch = self.member.epoch
+        return operator_api.Backed(await self.submit(order), lambda: self.on_duty(epoch))
+
+    async def pass_on(self, passed: wire.OrderAsked) -> Result[bytes, Fault]:
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
             return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", 300_000))
@@ -261,20 +296,7 @@
 
     async def settle_for(self, frame: wire.Frame, channel: Channel) -> None:
         """An order that another core machine passed on: settled here or not at all."""
-        outcome: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "not the primary"))
-        if self.member.holds(self.now()):
-            asked = frame.order
-            kind = asked.WhichOneof("order")
-            if kind == "replace":
-                checked = await self.reading.read(asked.replace.body)
-                if isinstance(checked, Failure):
-                    outcome = Failure(checked.failure())
-                else:
-                    outcome = await self.submit(control.Replace(checked.unwrap().version, asked.replace.body))
-            elif kind == "retrieve":
-                outcome = await self.submit(control.Retrieve())
-            elif kind == "evacuate":
-                outcome = await self.submit(control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on))
+        outcome = await self.settle_passed(frame.order)
         done = wire.OrderDone()
         match outcome:
             case Success(body):
@@ -283,6 +305,24 @@
                 done.kind, done.text = fault.kind.value, fault.text
         channel.reply(frame, wire.Frame(done=done))
 
+    async def settle_passed(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
+        """As it may leave: what is read out or refused for good only while the lease lasts."""
+        if not self.member.holds(self.now()):
+            return Failure(Fault(Kind.NOT_SETTLED, "not the primary"))
+        match asked.WhichOneof("order"):
+            case "replace":
+                checked = await self.reading.read(asked.replace.body)
+                if isinstance(checked, Failure):
+                    return Failure(checked.failure())
+                order = control.Replace(checked.unwrap().version, asked.replace.body)
+                return acknowledged(await self.decide_here(order), b"").leaving()
+            case "retrieve":
+                return (await self.decide_here(control.Retrieve())).leaving()
+            case "evacuate":
+                order_ = control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on)
+                return acknowledged(await self.decide_here(order_), b"").leaving()
+        return Failure(Fault(Kind.NOT_SETTLED, "no such order"))
+
     # -- time -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
@@ -431,3 +471,10 @@
         self.mending.close()
         self.saving.close()
         self.reading.close()
+
+
+def acknowledged(decided: operator_api.Backed, answer: object) -> operator_api.Backed:
+    """A change that was settled: on enough disks it stays acknowledged, whoever leads by now."""
+    if isinstance(decided.outcome, Success):
+        return operator_api.Backed(Success(answer), lambda: True)
+    return decided
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -26,7 +26,7 @@
 from vetchusher.settings.node import NodeSettings
 
 from .following import Following
-from .operator_api import AskResolution, Resolved
+from .operator_api import AskResolution, Backed, Resolved
 from .paths import Channel, Paths
 from .proxy import Proxy, Readiness
 from .reading import LOOP_BYTES, Reading
@@ -157,7 +157,7 @@
 
     def look_fresh(self, now: int) -> None:
         """Danger: rows that are here and not read yet make nothing fresh."""
-        self.front.fresh(self.reader is None and self.follower.fresh(now))
+        self.front.fresh_until(self.follower.fresh_until(now) if self.reader is None else now - 1)
 
     def take(self, rows: Mapping[str, bytes], found: Result[Configuration, Fault]) -> None:
         now = self.now()
@@ -212,7 +212,7 @@
             self.note(LogEvent(Event.TOTALS_WHOLE if self.tally.stood else Event.TOTALS_LOST, standing))
         self.paths.keep({*self.follower.contacts, *self.follower.neighbours})
 
-    async def settle(self, call: object) -> Result[Resolved, Fault]:
+    async def settle(self, call: object) -> Result[Resolved, Fault] | Backed:
         """A client's question where to go, by what the news say.
 
         Danger: one that is cut off from the core would name for ever who served when it was; another does
@@ -224,7 +224,8 @@
         fronts = named(others, call.region, call.zone)
         if not fronts or not self.follower.in_touch(self.now()):
             return Failure(Fault(Kind.NOT_SETTLED, "who serves is not known here"))
-        return Success(Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s)))
+        answer = Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s))
+        return Backed(Success(answer), lambda: self.follower.in_touch(self.now()))
 
     async def push(self, primary: str, push: wire.Push) -> None:
         answer = await self.paths.ask(primary, wire.Frame(push=push), PUSH_S)
--- a/vetchusher/node/operator_api.py
+++ b/vetchusher/node/operator_api.py
@@ -36,6 +36,7 @@
 POLL_S = 0.02
 BACK_US = 500_000  # told to a caller where nothing says when to come back
 MOST_NAME = 255  # characters of a zone's or host's name
+PIECE = 1 << 16  # bytes of a long reading that are written between two looks at what backs it
 
 
 # -- calls and their answers ---------------------------------------------------------------------
@@ -100,8 +101,32 @@
 
 Call = ReplaceConfiguration | RetrieveConfiguration | InitiateEvacuation | TerminateEvacuation | AskResolution
 Answer = Replaced | Retrieved | EvacuationSet | Resolved
+
+
+@dataclass(slots=True, frozen=True)
+class Backed:
+    """An outcome drawn from a state that may be overtaken: a reading, or a refusal for good.
+
+    An acknowledgement needs no backing: what is synced on enough disks stays so.
+
+    :param lasts: whether what it was drawn from still holds; asked right before the bytes leave
+    """
+
+    outcome: Result[Any, Fault]
+    lasts: Callable[[], bool]
+
+    def leaving(self) -> Result[Any, Fault]:
+        """The outcome as it may leave at this moment.
+
+        Danger: a machine may stand still between the decision and its answer, and be followed meanwhile.
+        """
+        final = not isinstance(self.outcome, Failure) or self.outcome.failure().kind is not Kind.NOT_SETTLED
+        return Failure(OVERTAKEN) if final and not self.lasts() else self.outcome
+
+
+OVERTAKEN = Fault(Kind.NOT_SETTLED, "what this was drawn from may be overtaken")
 # It may be cancelled at any time, as its caller may leave: what it began may then be in force or not.
-Settle = Callable[[Any], Awaitable[Result[Any, Fault]]]
+Settle = Callable[[Any], Awaitable[Result[Any, Fault] | Backed]]
 Refused = Callable[[Call, Fault], None]
 
 
@@ -117,6 +142,14 @@
     body: bytes
 
 
+@dataclass(slots=True, frozen=True)
+class Reply:
+    """What came of a call; it is written only as it leaves."""
+
+    call: Call
+    backed: Backed
+
+
 @dataclass(slots=True, frozen=True)
 class Way:
     """:param bodied: its body is a part of the call; else whatever comes is read and forgotten"""
@@ -250,13 +283,17 @@
         link = request.protocol
         assert isinstance(link, ClientLink)
         try:
-            response = await self.answer(request, link)
+            reply = await self.answer(request, link)
+            response = self.leaving(reply) if isinstance(reply, Reply) else reply
             if self.closing:
                 response.force_close()
             # A caller that has left: what it asked for stands, and nobody is there to be told.
             with contextlib.suppress(ConnectionError):
                 # Danger: who asks for long answers and reads none would hold them all.
                 async with asyncio.timeout(READ_S):
+                    if isinstance(reply, Reply) and isinstance(response.body, bytes):
+                        if len(response.body) > PIECE:
+                            return await send_in_pieces(request, link, response, reply.backed.lasts)
                     await response.prepare(request)
                     await response.write_eof()
                     await request.writer.drain()
@@ -266,7 +303,14 @@
             link.answered()
         return response
 
-    async def answer(self, request: web.BaseRequest, link: ClientLink) -> web.Response:
+    def leaving(self, reply: Reply) -> web.Response:
+        """The answer of a call as it may leave now.  Nothing may wait between this and the writing."""
+        outcome = reply.backed.leaving()
+        if isinstance(outcome, Failure) and self.refused is not None:
+            self.refused(reply.call, outcome.failure())
+        return written(outcome)
+
+    async def answer(self, request: web.BaseRequest, link: ClientLink) -> web.Response | Reply:
         path, _, _ = request.raw_path.partition("?")
         found = [(way, match) for way in self.ways if (match := way.path.fullmatch(path)) is not None]
         if not found:
@@ -312,20 +356,43 @@
             return refused(400, " ".join(str(err).split())[:MOST_NAME])
         return None
 
-    async def settled(self, way: Way, asked: Asked) -> web.Response:
+    async def settled(self, way: Way, asked: Asked) -> web.Response | Reply:
         read = way.read(asked)
         if isinstance(read, Failure):
             return written(read)
         call = read.unwrap()
         patience_s = min(ANSWER_S + len(asked.body) * ANSWER_BYTE_S, SETTLE_S)
+        outcome: Result[Answer, Fault] | Backed
         try:
             async with asyncio.timeout(patience_s):
                 outcome = await self.settle(call)
         except TimeoutError:
             outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {patience_s:.1f} s"))
-        if isinstance(outcome, Failure) and self.refused is not None:
-            self.refused(call, outcome.failure())
-        return written(outcome)
+        return Reply(call, outcome if isinstance(outcome, Backed) else Backed(outcome, lambda: True))
+
+
+async def send_in_pieces(
+    request: web.BaseRequest, link: ClientLink, whole: web.Response, lasts: Callable[[], bool]
+) -> web.StreamResponse:
+    """A long answer, broken off where what backs it ends before its last piece is written.
+
+    Danger: what the kernel does not take at once waits in this process, as long as that stands still.
+    """
+    body = whole.body
+    assert isinstance(body, bytes)
+    response = web.StreamResponse(status=whole.status, headers=whole.headers)
+    response.content_length = len(body)
+    if whole.keep_alive is False:
+        response.force_close()
+    await response.prepare(request)
+    for begin in range(0, len(body), PIECE):
+        if begin and not lasts():
+            link.wire.abort()
+            return response
+        await response.write(body[begin : begin + PIECE])
+    await response.write_eof()
+    await request.writer.drain()
+    return response
 
 
 class ControlDoor(CallsDoor):
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -226,8 +226,8 @@
     def evacuated(self, zones: frozenset[str], now: int) -> None:
         self.choice.evacuated(zones, now)
 
-    def fresh(self, fresh: bool) -> None:
-        self.ground.fresh = fresh
+    def fresh_until(self, until: int) -> None:
+        self.ground.fresh_until = until
 
     def leave(self) -> None:
         """From now on every answer closes its connection; new ones are served as before."""
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -130,7 +130,8 @@
 class Ground:
     """What all requests of an ingress are judged by.  A request keeps the table that it began with.
 
-    :param fresh: the table is surely the one in force; else what it does not allow cannot be refused for good
+    :param fresh_until: us; until then the table is surely the one in force, and what it does not allow may be
+        refused for good
     :param times: smoothed times of answers (us) by route; `configure` drops those of routes that are gone
     """
 
@@ -139,7 +140,7 @@
     budget: Budget
     rng: random.Random
     table: RouteTable | None = None
-    fresh: bool = False
+    fresh_until: int = -1
     times: dict[str, float] = field(default_factory=dict)
 
     def configure(self, configuration: Configuration) -> None:
@@ -152,9 +153,10 @@
         before = self.times.get(route.name)
         self.times[route.name] = took_us if before is None else before + SMOOTH * (took_us - before)
 
-    def refusal(self, kind: Kind, text: str) -> Fault:
+    def refusal(self, now: int, kind: Kind, text: str) -> Fault:
         """What the table does not allow: refused for good only if it is the one in force."""
-        return Fault(kind, text) if self.fresh else Fault(Kind.NOT_FRESH, text, STALE_AGAIN_US)
+        fresh = now <= self.fresh_until
+        return Fault(kind, text) if fresh else Fault(Kind.NOT_FRESH, text, STALE_AGAIN_US)
 
 
 class Request:
@@ -344,13 +346,13 @@
     found = {name.lower(): value for name, value in head.headers}
     route = table.find(found["host"], head.target)
     if route is None:
-        return Failure(ground.refusal(Kind.NO_ROUTE, "no such route"))
+        return Failure(ground.refusal(head.arrived_at, Kind.NO_ROUTE, "no such route"))
     tenant: Tenant | None = None
     if table.configuration.keyed:
         scheme, _, key = found.get("authorization", "").partition(" ")
         tenant = table.tenant(key.strip()) if scheme.lower() == "bearer" else None
         if tenant is None and not route.public:
-            return Failure(ground.refusal(Kind.NO_KEY, "no such key"))
+            return Failure(ground.refusal(head.arrived_at, Kind.NO_KEY, "no such key"))
     return Success(Request(ground, table, head, route, tenant))
 
 
