--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -5,11 +5,16 @@
 (`emulator/system/scenarios.py`)."""
 
 import itertools
+from typing import cast
 from unittest import mock
 
+from returns.result import Failure, Result, Success
 from testtools import TestCase
 
-from vetchusher.control import Tick
+from vetchusher.control import Order, Retire, Tick
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import Source
+from vetchusher.distribution.subscriber import Subscriber
 from vetchusher.emulator.control import mutations as control_mutations
 from vetchusher.emulator.control import scenarios as control_scenarios
 from vetchusher.emulator.control.world import Scene as ControlScene
@@ -17,6 +22,7 @@
 from vetchusher.emulator.system.mutations import planted
 from vetchusher.emulator.system.scenarios import STOPPED, Scene, Story
 from vetchusher.emulator.system.world import World
+from vetchusher.kinds import Fault
 from vetchusher.node.control_node import ControlNode
 
 SEEDS = range(1, 4)
@@ -196,6 +202,7 @@
             "a reading leaves whatever came meanwhile": "leader stands still",
             "a reading passed on has no age": "follower stands still",
             "a refusal drawn from old settings": "leader",
+            "a directory's answer has no age": "follower stands still",
             "freshness stands still with the process": "ingress stands still",
             "a cut-off machine vouches": "started meanwhile",
         }.items():
@@ -203,23 +210,78 @@
                 self.assertNotEqual([], told(name, 3), fault)
 
 
-class LateMessages(TestCase):
-    def test_what_was_decided_before_the_machine_stood_still_is_not_sent_after(self) -> None:
+def leader_of(world: World) -> ControlNode:
+    world.warm_up()
+    part = world.machines[world.primary()].part
+    assert isinstance(part, ControlNode)
+    return part
+
+
+class Parts(TestCase):
+    def sends(self, stands_still: int) -> bool:
         """
         decided   a renewal that says what is committed
-        then      the machine stands still for 20 s, and goes on: the message is lost
+        then      the machine stands still, and goes on
         """
-        world = World(Scene(seed=3))
-        world.warm_up()
-        part = world.machines[world.primary()].part
-        assert isinstance(part, ControlNode)
-        for stands_still, sent in ((0, True), (STOPPED, False)):
-            told: list[str] = []
-            decided_at = part.now() + SECOND
-            times = itertools.chain([decided_at], itertools.repeat(decided_at + stands_still))
-            with (
-                mock.patch.object(part, "now", lambda times=times: next(times)),
-                mock.patch.object(part.paths, "tell", lambda to, frame, told=told: told.append(to)),
-            ):
-                part.feed(Tick())
-            self.assertEqual(sent, bool(told), stands_still)
+        part = leader_of(World(Scene(seed=3)))
+        told: list[str] = []
+        decided_at = part.now() + SECOND
+        times = itertools.chain([decided_at], itertools.repeat(decided_at + stands_still))
+        with (
+            mock.patch.object(part, "now", lambda: next(times)),
+            mock.patch.object(part.paths, "tell", lambda to, frame: told.append(to)),
+        ):
+            part.feed(Tick())
+        return bool(told)
+
+    def test_a_message_decided_before_the_machine_stood_still_is_lost(self) -> None:
+        self.assertTrue(self.sends(0))
+        self.assertFalse(self.sends(STOPPED))
+        with planted("messages leave however late"):
+            self.assertTrue(self.sends(STOPPED))
+
+    def passed_on(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
+        """What leaves the primary that hands over between the decision and its answer."""
+        part = leader_of(World(Scene(seed=3)))
+
+        async def submit(order: Order) -> Result[bytes, Fault]:
+            part.feed(Retire())
+            return Success(b"r1")
+
+        with mock.patch.object(part, "submit", submit):
+            try:
+                part.settle_passed(asked).send(None)
+            except StopIteration as done:
+                return cast(Result[bytes, Fault], done.value)
+        raise AssertionError("it waits")
+
+    def test_a_reading_passed_on_leaves_under_the_lease_only_and_an_acknowledgement_always(self) -> None:
+        reading = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
+        change = wire.OrderAsked(evacuate=wire.Evacuate(zone="gulf-a", on=True))
+        self.assertIsInstance(self.passed_on(reading), Failure)
+        self.assertIsInstance(self.passed_on(change), Success)
+        with planted("a reading leaves whatever came meanwhile"):
+            self.assertIsInstance(self.passed_on(reading), Success)
+
+    def fresh_after_a_late_vector(self) -> bool:
+        """
+        s      a                               the ingress, which holds 1.5
+        1      1.6, in force --------------->  not fresh
+        1.1    1.5, in force, sent before -->  not fresh still
+        """
+
+        def heard(seq: int) -> wire.HeartbeatReply:
+            vector = [wire.SourceAt(source="control", stamp=wire.Stamp(epoch=1, seq=seq))]
+            return wire.HeartbeatReply(vector=vector, members=["a"], primary="a", in_force=True)
+
+        control = Source("control")
+        control.publish((1, 5), {})
+        follower = Subscriber(["a"], {"control": control})
+        follower.heard_beat(SECOND, "a", SECOND, heard(6))
+        follower.heard_beat(SECOND + 1, "a", 0, heard(5))
+        return follower.fresh(SECOND + 1)
+
+    def test_a_vector_told_unasked_that_waited_behind_a_cut_lowers_nothing(self) -> None:
+        self.assertFalse(self.fresh_after_a_late_vector())
+        with planted("a late vector lowers what was told"):
+            self.assertTrue(self.fresh_after_a_late_vector())
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -85,16 +85,6 @@
         self.assertTrue(follower.fresh(S + FRESH_US))
         self.assertFalse(follower.fresh(S + FRESH_US + 1))
 
-    def test_a_vector_told_unasked_that_waited_behind_a_cut_lowers_nothing(self):
-        #  s      a                               the ingress, which holds 1.5
-        #  1      1.6, in force --------------->  not fresh
-        #  1.1    1.5, in force, sent before -->  not fresh still
-        follower, control = self.follower()
-        control.publish((1, 5), {})
-        follower.heard_beat(S, "a", S, heard(6, True))
-        follower.heard_beat(S + S // 10, "a", 0, heard(5, True))
-        self.assertFalse(follower.fresh(S + S // 10))
-
     def test_one_that_knows_a_cut_off_machine_only_asks_those_that_it_names(self):
         #  a (cut off, names x, b, c)   the ingress, whose file names a
         #  names x, b, c ------------>  asks them too, and is not fresh
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -7,12 +7,12 @@
 from typing import Any
 from unittest import mock
 
-from returns.result import Success
+from returns.result import Failure, Result, Success
 
 from vetchusher.discovery import reader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import NEVER, Source, Told
-from vetchusher.distribution.subscriber import Send, SendPull, Subscriber
+from vetchusher.distribution.subscriber import Contact, Send, SendPull, Subscriber
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
@@ -23,6 +23,7 @@
 
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
+REAL_IN_FORCE = Subscriber._in_force
 LONG = 1 << 61
 
 
@@ -55,6 +56,17 @@
             regions.setdefault(standing.region, []).append(standing)
 
 
+def refused_for_good(self: control_node.ControlNode, zone: str) -> Result[Any, Fault]:
+    return Failure(Fault(Kind.NOT_FOUND, zone))
+
+
+def takes_any_vector(
+    self: Subscriber, contact: Contact, sent_at: int, answer: wire.HeartbeatReply, vector: Any
+) -> None:
+    contact.in_force = {}
+    REAL_IN_FORCE(self, contact, max(sent_at, contact.in_force_at), answer, vector)
+
+
 def fresh_for_good(self: proxy.Proxy, until: int) -> None:
     """Until the next look says otherwise."""
     self.ground.fresh_until = LONG if until >= self.now() else -1
@@ -87,7 +99,10 @@
         (operator_api.Backed, "leaving", lambda self: self.outcome),
     ),
     "a reading passed on has no age": ((control_node, "PASSED_READING_US", LONG),),
-    "a refusal drawn from old settings": ((control_node.ControlNode, "in_force", lambda self, now: True),),
+    "a refusal drawn from old settings": ((control_node.ControlNode, "no_zone", refused_for_good),),
+    "a directory's answer has no age": ((control_node, "NAMED_US", LONG),),
+    "messages leave however late": ((control_node, "LATE_SEND_US", LONG),),
+    "a late vector lowers what was told": ((Subscriber, "_in_force", takes_any_vector),),
     "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
     "a cut-off machine vouches": ((control_node.ControlNode, "in_force", lambda self, now: True),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
