--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -21,9 +21,11 @@
 from vetchusher.emulator.fleet_world import SECOND
 from vetchusher.emulator.system.mutations import planted
 from vetchusher.emulator.system.scenarios import STOPPED, Scene, Story
+from vetchusher.emulator.system.search import Search, drawn
 from vetchusher.emulator.system.world import World
 from vetchusher.kinds import Fault
 from vetchusher.node.control_node import ControlNode
+from vetchusher.node.edge_node import EdgeNode
 
 SEEDS = range(1, 4)
 
@@ -217,6 +219,46 @@
     return part
 
 
+class Regained(TestCase):
+    """
+    s         leader                          the ingresses
+    0         tells the list's changes  ----> have them
+    then      its lease runs out, and is regained in the same epoch: its duties begin anew
+    1         a server drains  -------------> are told so
+    """
+
+    def test_the_list_is_told_on_by_a_primary_that_held_its_epoch_before(self) -> None:
+        world = World(Scene(seed=3))
+        leader = leader_of(world)
+        assert leader.duty is not None
+        epoch, seq = leader.discovery.stamp
+        self.assertGreater(seq, 1)
+        leader.duty.cancel()
+        world.run(world.clock.at + SECOND)
+        ip = min(world.servers.at_address)
+        world.servers.drain(ip)
+        world.run(world.clock.at + 2 * SECOND)
+        self.assertGreater(leader.discovery.stamp, (epoch, seq))
+        for machine in world.ingresses:
+            assert isinstance(machine.part, EdgeNode)
+            _, server = machine.part.known[world.servers.at_address[ip].instance]
+            self.assertTrue(server.draining)
+
+    def test_the_totals_are_held_on_by_it(self) -> None:
+        world = World(Scene(seed=3))
+        leader = leader_of(world)
+        holder = leader.holder
+        assert holder is not None
+        leader.end_duties()
+        world.run(world.clock.at + SECOND)
+        self.assertIs(holder, leader.holder)
+        leader.end_duties()
+        self.assertIsNot(holder, leader.holder_of(holder.life + 1, leader.now()))
+
+    def test_the_day_that_showed_it(self) -> None:
+        self.assertEqual([], Search(drawn(590)).run())
+
+
 class Parts(TestCase):
     def sends(self, stands_still: int) -> bool:
         """
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -95,6 +95,7 @@
         self.next_order = 1
         self.duty: asyncio.Task[None] | None = None
         self.holder: Holder | None = None
+        self.resting: Holder | None = None  # of the epoch whose lease ran out
         self.platform = Platform(node.cloud_api)
         self.following = Following(self.paths, self.follower, self)
         self.shelf = shelf
@@ -375,25 +376,30 @@
         for name in self.directory.rows:
             self.presence.remember(now, name)
         if self.holder is None:
-            bounds = self.node.bounds
-            quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
-            self.holder = Holder(epoch, now, quota)
+            self.holder = self.holder_of(epoch, now)
             self.holder.fleet(now, self.presence.may_serve())
             if self.configuration is not None:
                 self.holder.configure(now, self.configuration.tenants)
         self.duty = self.loop.create_task(self.read_list(epoch))
 
+    def holder_of(self, epoch: int, now: int) -> Holder:
+        """Danger: a lease may be regained within its epoch; a holder made anew under the same name would be
+        taken for one that knows what has passed."""
+        if self.resting is not None and self.resting.life == epoch:
+            return self.resting
+        bounds = self.node.bounds
+        quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
+        return Holder(epoch, now, quota)
+
     def tell_ingresses(self) -> None:
         """Who may be serving, as rows: by how many a quota is divided, and who knows whom."""
         rows = self.presence.rows(self.now())
         if rows != self.directory.values():
-            epoch, seq = self.directory.stamp
-            stamp = (self.member.epoch, seq + 1 if epoch == self.member.epoch else 1)
-            if self.directory.publish(stamp, rows):
+            if self.directory.publish(next_stamp(self.directory, self.member.epoch), rows):
                 self.tell_watchers()
 
     def end_duties(self) -> None:
-        self.holder = None
+        self.resting, self.holder = self.holder, None
         if self.duty is not None:
             self.duty.cancel()
         self.note(LogEvent(Event.TOTALS_LEFT))
@@ -404,7 +410,7 @@
     async def read_list(self, epoch: int) -> None:
         """Read the platform's list, and tell what it says, for as long as the epoch is held."""
         reader = Reader(self.node.zones, self.discovery.values())
-        seq, told, failed = 0, None, False
+        told, failed = None, False
         while self.on_duty(epoch):
             began = self.loop.time()
             match await self.platform.read():
@@ -414,8 +420,9 @@
                     serving = [(one.node, one.region) for one in self.presence.serving(self.now())]
                     rows: Mapping[str, bytes] = reader.read(entries, serving)
                     if rows != told:
-                        seq, told = seq + 1, rows
-                        self.discovery.publish((epoch, seq), rows)
+                        told = rows
+                        _, seq = stamp = next_stamp(self.discovery, epoch)
+                        self.discovery.publish(stamp, rows)
                         self.note(
                             LogEvent(Event.LIST_READ, {"epoch": epoch, "seq": seq, "servers": len(rows)})
                         )
@@ -473,6 +480,16 @@
         self.reading.close()
 
 
+def next_stamp(source: Source, epoch: int) -> tuple[int, int]:
+    """Under which the primary of that epoch tells more.
+
+    Danger: a lease may run out and be regained within its epoch; numbers that began anew then would be below
+    those told before, and nothing more would be taken until they had passed them.
+    """
+    told_epoch, seq = source.stamp
+    return epoch, seq + 1 if told_epoch == epoch else 1
+
+
 def acknowledged(decided: operator_api.Backed, answer: object) -> operator_api.Backed:
     """A change that was settled: on enough disks it stays acknowledged, whoever leads by now."""
     if isinstance(decided.outcome, Success):
