--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -358,6 +358,82 @@
         """,
         CALM,
     ),
+    "a voter is replaced, and both sides of a cut stand": (
+        """
+        s     | 1 east | 2 east | 3 west | 4 east | operator
+        0     |        |        |        | on     | r5
+        ack+3 | x2     |        |        |        |
+        ack+3.9 | x3   |        |        | x2, x3 |
+        ack+9 | =2, =3 |        |        | =2, =3 | r6
+        ack+2 |        |        |        |        | reads r6
+        """,
+        CALM,
+    ),
+    "replaced as planned, then another disk is lost": (
+        """
+        s     | 1 east | 2 east    | 3 west | 4 west | operator
+        0     |        |           |        | on     | r5
+        ack+4 |        |           | leaves |        |
+        ack+8 |        | disk lost |        | copy   | r6
+        ack   | off    | on        |        |        |
+        ack+5 | on     |           |        |        | reads r6
+        """,
+        CALM,
+    ),
+    "the successor's disk is lost": (
+        """
+        s     | 1 east | 2 east | 3 west | 4 west    | operator
+        0     |        |        | gone   |           | r5
+        1     |        |        |        | on        |
+        ack+9 |        |        |        | disk lost | r6
+        ack+1 |        |        |        | on        |
+        ack+5 | gone   |        |        |           | reads r6, r7
+        """,
+        CALM,
+    ),
+    "three replaced in turn, then power lost everywhere": (
+        """
+        s     | 1 east | 2 east | 3 west | 4 west | 5 east | 6 east | operator
+        0     |        |        | gone   |        |        |        | r5
+        1     |        |        |        | on     |        |        |
+        8     |        | gone   |        |        |        |        | r6
+        9     |        |        |        |        | on     |        |
+        16    | gone   |        |        |        |        |        |
+        17    |        |        |        |        |        | on     | r7
+        24    |        |        |        | off    | off    | off    |
+        24.5  |        |        |        | on     | on     | on     | reads r7, r8
+        """,
+        CALM,
+    ),
+    "the primary leaves, and its successor is there": (
+        """
+        s     | 1 east | 2 east | 3 west | 4 east | operator
+        0     |        |        |        | on     | r5
+        ack+4 | leaves |        |        |        | r6
+        ack+4 |        |        | off    |        | r7
+        ack   |        |        |        |        | reads r7
+        """,
+        CALM,
+    ),
+    "two of five replaced at once, then two more lost": (
+        """
+        s     | 1 east | 2 east | 3 east | 4 west | 5 west | 6 east | 7 west | operator
+        0     | gone   |        |        | gone   |        |        |        | r5
+        1     |        |        |        |        |        | on     | on     |
+        ack+7 |        | disk lost |     |        | disk lost |     |        | r6
+        ack   |        |        |        |        |        |        |        | reads r6
+        """,
+        replace(FIVE, loss=0.0, late=0.0),
+    ),
+    "all that hold copies leave at once": (
+        """
+        s     | 1 east | 2 east | 3 west | operator
+        0     |        | copy   |        | r5
+        ack+2 | leaves |        | leaves |
+        ack+3 |        |        |        | r6
+        """,
+        CALM,
+    ),
     "all lose power again and again": (
         """
         s    | 1 east | 2 east | 3 west | operator
@@ -400,6 +476,10 @@
     "answers before its first write": "a primary with more than the others reads out",
     "a word of a copy counts for good": "a copy told of before its disk was lost",
     "in force without the newest": "one that got no writes",
+    "voters changed without the previous ones": "a voter is replaced, and both sides of a cut stand",
+    "a successor beside the one that it replaces": "replaced as planned, then another disk is lost",
+    "the lost keep their seats": "the successor's disk is lost",
+    "a leaving machine does not wait": "all that hold copies leave at once",
     "letters that waited through a stop are news": "a backup stopped with old letters waiting",
 }
 TRIES = 10  # seeds, until a planted fault must have been found
--- a/vetchusher/control/amnesia.py
+++ b/vetchusher/control/amnesia.py
@@ -2,10 +2,10 @@
 
 What it held is not: it is a witness until the primary has taught it.
 
-It remembers once a majority of the members, itself not counted, who remember have answered: any majority that
-counted it has another voter among those, and so has any majority of members changed by one.  Or once all
-others have answered, whoever remembers.  It asks only when every answer that it gave before has run out
-where it was counted (`lease_us` after its start): what it took part in is decided by then, or given up.
+It remembers once a majority of each electorate, itself not counted, who remember have answered: any majority
+that counted it has another voter among those.  Or once all others have answered, whoever remembers.  It asks
+only when every answer that it gave before has run out where it was counted (`lease_us` after its start): what
+it took part in is decided by then, or given up.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from .messages import Output, PersistentState, Send, Timing
 from .restore import begun_from
-from .state import first_record, first_state, majority, newest
+from .state import first_record, first_state, has_quorum, newest, voters
 
 MOST_MET = 64
 
@@ -61,7 +61,7 @@
         return [Send(ip, message) for ip in sorted(self.contacts()) if not self.remembers(ip)]
 
     def contacts(self) -> set[str]:
-        return {*self.seeds, *self.met, *(self.record() or ReplicaSet()).members} - {self.me}
+        return {*self.seeds, *self.met, *voters(self.record() or ReplicaSet())} - {self.me}
 
     def meet(self, sender: str) -> None:
         if len(self.met) < MOST_MET:
@@ -84,9 +84,9 @@
         record = self.record()
         if record is None:
             return self.anew(now)
-        others = set(record.members) - {self.me}
-        remembering = sum(self.remembers(ip) for ip in others)
-        if remembering < majority(len(record.members)) and not others <= self.answers.keys():
+        others = voters(record) - {self.me}
+        remembering = {ip for ip in others if self.remembers(ip)}
+        if not has_quorum(record, remembering) and not others <= self.answers.keys():
             return None
         promise = max(self.answers.values(), key=lambda a: a.promised)
         return PersistentState(promise.promised, ControlState(), promise.owner, record, copy=False)
--- a/vetchusher/control/election.py
+++ b/vetchusher/control/election.py
@@ -16,7 +16,7 @@
 
 from .durable_state import DurableState
 from .messages import Output, Send, Timing
-from .state import at, enough, newest, point
+from .state import at, has_quorum, newest, point, voters
 
 
 class Stage(Enum):
@@ -53,7 +53,7 @@
         return self.ask_all(self.memory.record)
 
     def ask_all(self, record: ReplicaSet) -> list[Output]:
-        new = [ip for ip in record.members if ip != self.me and ip not in self.asked]
+        new = [ip for ip in sorted(voters(record)) if ip != self.me and ip not in self.asked]
         self.asked.update(new)
         self.unheard.update(new)
         ask = VoteRequest(epoch=self.epoch, released=self.released)
@@ -85,12 +85,12 @@
         return newest([self.memory.record, *(a.record for a in answers.values())])
 
     def stands(self, answers: dict[str, VoteReply]) -> bool:
-        """Whether a majority of the members that the newest record names answered, and it names this
-        machine's copy.  An older record's members are met on the way there, as members change by one."""
+        """Whether a majority of each electorate of the newest record answered, and it names this machine's
+        copy.  An older record's voters are met on the way there: a change of voters names both sets."""
         best = self.best(answers)
         if not self.memory.copy or self.me not in best.copies or self.me not in best.members:
             return False
-        if not enough(best.members, {self.me, *answers}):
+        if not has_quorum(best, {self.me, *answers}):
             return False
         # Of the first start, or of disks of the first format, on which a majority of copies was enough.
         return best.number > 0 or all(
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -27,9 +27,13 @@
     :param heard_us: who was heard within it is up
     :param stopped_us: a machine that ran nothing for so long stood still; ticks come ten times as often
     :param regain_us: how long a primary whose lease ran out goes on asking before it gives up its epoch
+    :param leaving_pause_us: how much longer than others a machine that is leaving waits before it stands
     :param candidate_backoff_us: after a promise, no other candidate is encouraged for so long
     :param anew_us: when nobody remembers anything at all: how long to look for somebody before beginning anew
-    :param drop_us: a member unheard for so long is left out where that lets the others bear one loss more
+    :param drop_us: members unheard for so long are left out where that lets the others bear one loss more
+    :param settle_us: after the begin of an epoch a leaving voter stays for so long: learners make themselves
+        known to the new primary
+    :param replace_us: a member unheard for so long gives its seat to a learner that is ready
     """
 
     renew_us: int = 250_000
@@ -45,6 +49,7 @@
     regain_us: int = 300_000
     candidate_backoff_us: int = 400_000
     pause_us: int = 200_000
+    leaving_pause_us: int = 600_000
     probe_us: int = 300_000
     ask_us: int = 1_000_000
     order_us: int = 3_000_000
@@ -56,6 +61,8 @@
     join_us: int = 500_000
     learner_us: int = 5_000_000
     drop_us: int = 15_000_000
+    replace_us: int = 1_000_000
+    settle_us: int = 1_500_000
 
 
 @dataclass(slots=True, frozen=True)
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
 from returns.result import Failure, Result, Success
@@ -29,7 +29,7 @@
 from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
 from .progress import Peers, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, Point, at, changed, ordered, stamp, without_configuration
+from .state import START, Point, at, changed, ordered, stamp, voters, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
 MOST_LEARNERS = 8
@@ -101,12 +101,28 @@
         self.renewed_at = now
         round_ = self.progress.next_round(now)
         renew = LeaseRenewal(
-            epoch=self.epoch, round=round_, committed=self.told(now), record=self.reconfiguration.newest()
+            epoch=self.epoch,
+            round=round_,
+            committed=self.told(now),
+            record=self.reconfiguration.newest(),
+            changing=self.changing(now),
         )
         message = ControlMessage(renew=renew)
         readers = [*self.reconfiguration.everybody(), *self.progress.learners]
         return [Send(ip, message) for ip in readers] + self.drop(now)
 
+    def changing(self, now: int) -> bool:
+        """Whether a voter that is leaving has to stay, as its seat is about to be taken."""
+        reconfiguration = self.reconfiguration
+        if any(one.previous_members for one in reconfiguration.sets()):
+            return True
+        if self.committed is None or now < self.began + self.timing.settle_us:
+            return True
+        leaving = self.peers.leaving
+        return not leaving.isdisjoint(reconfiguration.members) and any(
+            ip not in leaving and self.progress.heard(now, ip) for ip in self.progress.learners
+        )
+
     def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
         if answer.epoch == self.epoch:
             self.progress.renewed(sender, answer)
@@ -130,8 +146,12 @@
     def taught(self, now: int) -> set[str]:
         """Who gets every write: the copies, and those that are to become copies."""
         # A late one in another zone: it holds a copy again as soon as it has shown that it can.
-        late = {ip for ip in self.reconfiguration.members if self.away(ip) and self.progress.rests(now, ip)}
-        return (self.reconfiguration.copies() | self.reconfiguration.wanted(now) | late) - {self.peers.me}
+        reconfiguration = self.reconfiguration
+        late = {ip for ip in reconfiguration.members if self.away(ip) and self.progress.rests(now, ip)}
+        coming = self.next_members(now)
+        newcomers = set(coming) - set(reconfiguration.members)
+        wanted = reconfiguration.wanted(now) | reconfiguration.wanted(now, coming)
+        return (reconfiguration.copies() | wanted | newcomers | late) - {self.peers.me}
 
     def away(self, ip: str) -> bool:
         """Whether it lies in another zone."""
@@ -218,19 +238,9 @@
         """Lets the record stand and commits the write under way if it may be, then begins what comes next,
         and answers what can be answered."""
         out: list[Output] = []
-        before = set(self.reconfiguration.record.members)
+        before = self.reconfiguration.record
         if self.reconfiguration.settle(now):
-            for ip in set(self.reconfiguration.record.members) - before:
-                out.append(
-                    LogEvent(
-                        Event.MEMBER_JOINED, {"member": ip, "members": len(self.reconfiguration.members)}
-                    )
-                )
-            facts = {
-                "copies": ",".join(self.reconfiguration.record.copies),
-                "number": self.reconfiguration.record.number,
-            }
-            out.append(LogEvent(Event.COPIES_HELD, {"epoch": self.epoch} | facts))
+            out += self.standing_events(before)
         self.mark_late(now)
         if self.reconfiguration.proposed is None and self.propose(now):
             out += self.renew(now)
@@ -242,20 +252,55 @@
             out += self.answer(now)
         return out + self.teach(now)
 
+    def standing_events(self, before: ReplicaSet) -> list[Output]:
+        """What the log says of a set that has come to stand.
+
+        :param before: the set that stood until now
+        """
+        record = self.reconfiguration.record
+        facts = {"copies": ",".join(record.copies), "number": record.number}
+        events = [LogEvent(Event.COPIES_HELD, {"epoch": self.epoch} | facts)]
+        for ip in sorted(set(record.members) - voters(before)):
+            events.append(LogEvent(Event.MEMBER_JOINED, {"member": ip, "members": len(record.members)}))
+        for ip in sorted(voters(before) - voters(record)):
+            events.append(LogEvent(Event.MEMBER_REMOVED, {"member": ip, "members": len(record.members)}))
+        return list(events)
+
     def propose(self, now: int) -> bool:
-        """Whether the next record was proposed: other copies, or other members."""
+        """Whether the next replica set was proposed: other copies, or other voters."""
         reconfiguration = self.reconfiguration
-        wanted = reconfiguration.wanted(now)
-        since = at(self.committed or self.memory.state)
-        if wanted != set(reconfiguration.record.copies) or not reconfiguration.standing:
-            if not all(reconfiguration.whole(now, ip, since) for ip in wanted):
-                return False
-            reconfiguration.propose(wanted, reconfiguration.members)
+        record = reconfiguration.record
+        if not reconfiguration.standing:
+            # Danger: the set that was found may stand or not; the same electorates have to decide on it.
+            return self.propose_whole(now, record.members, record.previous_members)
+        if reconfiguration.joint:
+            reconfiguration.propose(record.copies, record.members)
+            return True
+        members = self.next_members(now)
+        if set(members) != set(record.members) and self.propose_whole(now, members, record.members):
             return True
-        members = reconfiguration.next_members(now, self.began) if self.committed is not None else None
-        if members is not None:
-            reconfiguration.propose(wanted, members)
-        return members is not None
+        copies_change = reconfiguration.wanted(now) != set(record.copies)
+        return copies_change and self.propose_whole(now, record.members)
+
+    def propose_whole(self, now: int, members: Sequence[str], previous: Sequence[str] = ()) -> bool:
+        """Whether a set was proposed: all that it newly names hold the whole state.
+
+        :param previous: the voters before, where `members` are others
+        """
+        reconfiguration = self.reconfiguration
+        wanted = reconfiguration.wanted(now, members)
+        newcomers = set(members) - set(reconfiguration.record.members)
+        since = at(self.committed or self.memory.state)
+        if not all(reconfiguration.whole(now, ip, since) for ip in wanted | newcomers):
+            return False
+        reconfiguration.propose(wanted, members, previous)
+        return True
+
+    def next_members(self, now: int) -> list[str]:
+        """The voters that there should be."""
+        if self.committed is None or self.reconfiguration.joint:
+            return self.reconfiguration.members
+        return self.reconfiguration.next_members(now, self.began)
 
     def settled(self, now: int, began: int) -> bool:
         reconfiguration, newest = self.reconfiguration, at(self.memory.state)
@@ -302,7 +347,7 @@
         # Danger: what is being written now may be needed there yet.
         keep, upto = self.taught(now), at(self.committed)
         out: list[Output] = []
-        for ip in reconfiguration.everybody():
+        for ip in [*reconfiguration.everybody(), *self.progress.learners]:
             backup = self.progress.member(ip)
             if ip not in keep and backup.holds:
                 backup.dropped, backup.holds, backup.copy = upto, False, START
@@ -354,12 +399,19 @@
 
     # -- machines that ask to join -------------------------------------------------------------
 
-    def join(self, now: int, ip: str) -> None:
-        if ip in self.reconfiguration.members or ip in self.reconfiguration.everybody():
-            return
-        if ip in self.progress.learners or len(self.progress.learners) < MOST_LEARNERS:
-            self.progress.members.pop(ip, None)
-            self.progress.learners.setdefault(ip, ReplicaProgress()).joined_at = now
+    def join(self, now: int, ip: str) -> list[Output]:
+        """A machine with a disk that does not vote is a learner for as long as it asks."""
+        learners = self.progress.learners
+        if ip in self.reconfiguration.everybody():
+            return []
+        if ip in learners:
+            learners[ip].joined_at = now
+            return []
+        if len(learners) >= MOST_LEARNERS:
+            return []
+        self.progress.members.pop(ip, None)
+        learners[ip] = ReplicaProgress(joined_at=now)
+        return self.renew(now)  # it has the set that stands as soon as can be
 
 
 def unsettled(waiting: Iterable[Waiting], text: str) -> list[Output]:
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -28,6 +28,10 @@
     lives: dict[str, int] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
 
+    def heard_within(self, now: int, period_us: int) -> set[str]:
+        """Who was heard in that time until now."""
+        return {ip for ip, heard in self.heard_at.items() if now < heard + period_us}
+
     def apart(self, ips: set[str]) -> bool:
         """Whether they lie in more than one zone."""
         return len({self.zones.get(ip) for ip in ips}) > 1
@@ -77,7 +81,13 @@
         self.learners: dict[str, ReplicaProgress] = {}
 
     def member(self, ip: str) -> ReplicaProgress:
-        return self.members.setdefault(ip, ReplicaProgress())
+        learner = self.learners.get(ip)
+        return self.members.setdefault(ip, ReplicaProgress()) if learner is None else learner
+
+    def seat(self, ip: str) -> None:
+        """A learner is a voter from now on."""
+        if ip in self.learners:
+            self.members[ip] = self.learners.pop(ip)
 
     def known(self, ip: str) -> ReplicaProgress | None:
         return self.members.get(ip) or self.learners.get(ip)
--- a/vetchusher/control/reconfiguration.py
+++ b/vetchusher/control/reconfiguration.py
@@ -1,23 +1,29 @@
-"""Who holds copies, and who votes: the record of an epoch, as its primary changes it.
+"""Who holds copies, and who votes: the replica set of an epoch, as its primary changes it.
 
-One change at a time.  A record is proposed once every machine that it newly names holds a copy whole; it
-stands once a majority of the members, of the old and of the new ones, has it on disk.  Until then a write
-needs the copies of both.
+One change at a time.  A set is proposed once every machine that it newly names has synced the whole state; it
+stands once a majority of each electorate, of the set before and of the new one, has it on disk.  Until then a
+write needs the copies of both.
+
+Voters are changed by joint consensus (Ongaro and Ousterhout 2014, section 6): first a set that names the new
+voters and the previous ones, of which both need a majority for whatever needs one; once it stands, the same
+set without the previous ones.  So a successor takes the seat of the one that is leaving or lost in one step,
+and no two electorates that could decide at the same time are without a common voter.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 
 from vetchusher.distribution.wire_pb2 import ReplicaSet
 
 from .durable_state import DurableState
 from .progress import ProgressTracker
-from .state import Point, copies_needed, enough, majority, place
+from .seats import Roster, next_members, size_for
+from .state import Point, copies_needed, electorates, has_quorum, majority, place, voters
 
 
 class Reconfiguration:
-    """It owns the record that stands (before the first of its epoch: the one that was found), and the one
+    """It owns the set that stands (before the first of its epoch: the one that was found), and the one
     proposed."""
 
     def __init__(
@@ -41,20 +47,28 @@
 
     @property
     def standing(self) -> bool:
-        """Without a record of this epoch nothing may be acknowledged."""
+        """Without a set of this epoch nothing may be acknowledged."""
         return self.record.epoch == self.epoch
 
+    @property
+    def joint(self) -> bool:
+        """A change of voters has come to stand, and is to be ended."""
+        return bool(self.record.previous_members)
+
     @property
     def members(self) -> list[str]:
         return list(self.record.members)
 
+    def sets(self) -> list[ReplicaSet]:
+        return [one for one in (self.record, self.proposed) if one is not None]
+
     def electorates(self) -> list[Sequence[str]]:
         """A majority of each is needed for whatever needs one."""
-        return [r.members for r in (self.record, self.proposed) if r is not None]
+        return [electorate for one in self.sets() for electorate in electorates(one)]
 
     def everybody(self) -> list[str]:
-        """All members but this machine, the coming ones too."""
-        return sorted({ip for members in self.electorates() for ip in members} - {self.me})
+        """All voters but this machine, the coming ones too."""
+        return sorted({ip for one in self.sets() for ip in voters(one)} - {self.me})
 
     def copies(self) -> set[str]:
         """Whose disks a write needs now."""
@@ -66,7 +80,7 @@
         return self.proposed or (self.record if self.standing else None)
 
     def lease_until(self, now: int) -> int:
-        """Until when a majority of the members promises no other epoch; this machine is one of them."""
+        """Until when a majority of each electorate promises no other epoch; this machine is one of them."""
         held = now + self.progress.timing.held_us
         ends = []
         for members in self.electorates():
@@ -75,32 +89,75 @@
         return min(ends)
 
     def settle(self, now: int) -> bool:
-        """Whether the proposed record has come to stand just now."""
+        """Whether the proposed set has come to stand just now."""
         if self.proposed is None:
             return False
         wanted = place(self.proposed)
         holders = {ip for ip in self.everybody() if self.progress.record(now, ip) >= wanted}
         if self.memory.synced_record >= wanted:
             holders.add(self.me)
-        if not all(enough(members, holders) for members in self.electorates()):
+        if not all(has_quorum(one, holders) for one in self.sets()):
             return False
         self.record, self.proposed, self.changed_at = self.proposed, None, now
         return True
 
-    def propose(self, copies: set[str], members: Sequence[str]) -> None:
+    def propose(self, copies: Iterable[str], members: Sequence[str], previous: Sequence[str] = ()) -> None:
+        """:param previous: the voters before, while these are being changed"""
+        for ip in members:
+            self.progress.seat(ip)
         number = self.record.number + 1 if self.standing else 1
         self.proposed = ReplicaSet(
-            epoch=self.epoch, number=number, primary=self.me, copies=sorted(copies), members=sorted(members)
+            epoch=self.epoch,
+            number=number,
+            primary=self.me,
+            copies=sorted(copies),
+            members=sorted(members),
+            previous_members=sorted(previous),
         )
         self.memory.accept(self.proposed)
 
+    # -- who is to vote ------------------------------------------------------------------------
+
+    def ready(self, now: int) -> list[str]:
+        """Learners that have the standing set on disk, and may become members."""
+        peers = self.progress.peers
+        return [
+            ip
+            for ip, x in sorted(self.progress.learners.items())
+            if now < x.lease_until
+            and x.record >= place(self.record)
+            and not x.amnesiac
+            and ip not in peers.leaving
+        ]
+
+    def next_members(self, now: int, began: int) -> list[str]:
+        """The voters that there should be, as far as is known now."""
+        peers, timing = self.progress.peers, self.progress.timing
+        since = {ip: max(began, peers.heard_at.get(ip, 0)) for ip in self.members if ip != self.me}
+        silent = sorted(since, key=since.__getitem__)
+        leaving = [ip for ip in silent if ip in peers.leaving]
+        unheard = [ip for ip in silent if now >= since[ip] + timing.replace_us and ip not in leaving]
+        roster = Roster(
+            members=self.members,
+            gone=[*leaving, *unheard],
+            gone_for_long=[ip for ip in silent if now >= since[ip] + timing.drop_us],
+            spares=self.ready(now),
+            primary=self.me,
+            keep=frozenset({self.me, *self.record.copies}),
+            zones=peers.zones,
+        )
+        return next_members(roster, size_for(self.losses))
+
     # -- who is to hold copies -----------------------------------------------------------------
 
-    def wanted(self, now: int) -> set[str]:
+    def wanted(self, now: int, members: Sequence[str] | None = None) -> set[str]:
         """As many as are needed, of those that are well; those that hold copies already first; in two zones
-        where any member of another zone is well."""
-        members, holding = self.members, self.record.copies
-        size = self.size(now)
+        where any member of another zone is well.
+
+        :param members: the voters that there should be; None: those of today
+        """
+        members, holding = self.members if members is None else members, self.record.copies
+        size = copies_needed(len(members), self.losses)
         well = sorted(
             (ip for ip in members if self.progress.well(now, ip)),
             key=lambda ip: (ip != self.me, ip not in holding, ip),
@@ -114,39 +171,6 @@
         left = sorted(set(members) - set(chosen), key=lambda ip: (ip not in holding, ip))
         return {*chosen, *left[: size - len(chosen)]}
 
-    def size(self, now: int) -> int:
-        """Danger: with one member more it may be one copy more, which has to be there first."""
-        return copies_needed(len(self.members) + bool(self.ready(now)), self.losses)
-
-    def ready(self, now: int) -> list[str]:
-        """Learners that have the record on disk, and may become members."""
-        learners = self.progress.learners.items()
-        return [
-            ip
-            for ip, x in learners
-            if now < x.lease_until and x.record >= place(self.record) and not x.amnesiac
-        ]
-
-    def next_members(self, now: int, began: int) -> list[str] | None:
-        """One more, or one less; None: as they are."""
-        ready = self.ready(now)
-        if ready and len(self.record.copies) >= self.size(now):
-            self.progress.members[ready[0]] = self.progress.learners.pop(ready[0])
-            return [*self.members, ready[0]]
-        return self.without_lost(now, began)
-
-    def without_lost(self, now: int, began: int) -> list[str] | None:
-        """Without the member longest lost, if those who are left could not bear one more loss otherwise."""
-        members, heard_at = self.members, self.progress.peers.heard_at
-        since = {ip: max(began, heard_at.get(ip, 0)) for ip in members if ip != self.me}
-        lost = [ip for ip, at_ in since.items() if now >= at_ + self.progress.timing.drop_us]
-        if not lost or len(members) <= 3 or len(members) - len(lost) > majority(len(members)):
-            return None
-        longest = min(lost, key=since.__getitem__)
-        if longest in self.record.copies:
-            return None
-        return [ip for ip in members if ip != longest]
-
     def whole(self, now: int, ip: str, since: Point) -> bool:
         """Whether that machine's disk has a copy not older than that."""
         if ip == self.me:
--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -45,7 +45,7 @@
 )
 from .primary import Primary
 from .progress import Peers
-from .state import Point, at, first_record, first_state, place
+from .state import Point, at, first_record, first_state, place, voters
 from .voter import Voter
 from .witness import Witness
 
@@ -142,17 +142,36 @@
 
     @property
     def members(self) -> tuple[str, ...]:
-        return tuple(self.memory.record.members)
+        """All who vote; while voters are being changed, those before and after."""
+        return tuple(sorted(voters(self.memory.record)))
 
     @property
-    def needed(self) -> bool:
-        """As far as is known here, another has to take over what this machine does."""
-        return not self.primary or self.me in self.memory.record.copies
+    def seated(self) -> bool:
+        """It votes, as far as is known here."""
+        return self.me in voters(self.memory.record)
+
+    def needed(self, now: int) -> bool:
+        """Whether another has to take over first what this machine does, and is up to do so: its epoch, its
+        copy, its seat, or its vote in an election under way."""
+        timing = self.timing
+        up = self.peers.heard_within(now, timing.lease_us + timing.heard_us)
+        if up <= self.peers.leaving:
+            return False
+        led = self.primary in self.peers.heard_within(now, timing.heard_us)
+        if self.primary_work is not None or not led or self.me in self.memory.record.copies:
+            return True
+        return now < self.change_until
 
     @property
     def amnesiac(self) -> bool:
         return self.recovery is not None
 
+    def reseed(self, seeds: Sequence[str]) -> None:
+        """The settings name other machines to ask."""
+        self.seeds = tuple(seeds)
+        if self.recovery is not None:
+            self.recovery.seeds = self.seeds
+
     # -- inputs --------------------------------------------------------------------------------
 
     def handle(self, now: int, event: Input) -> list[Output]:
@@ -236,7 +255,7 @@
                 self.tries = self.tries + 1 if candidate.unheard else 0
         elif self.recovery is not None:
             self.out += self.recovery.tick(now)
-        elif self.me not in self.members:
+        elif not self.seated:
             self.ask_to_join(now)
         else:
             self.consider(now)
@@ -267,12 +286,14 @@
 
     def consider(self, now: int) -> None:
         """Nobody leads: a random pause, then a candidacy, where there is a copy to go on from."""
-        if self.retired or not self.memory.copy:
+        if not self.memory.copy:
             return
         if self.wait(now, self.me) or self.voter.patience(now, self.me):
             self.due_at = None
         elif self.due_at is None:
-            self.due_at = now + self.rng.randrange(self.timing.pause_us)
+            # Danger: all copies may be on machines that are about to end; then one of these leads once more.
+            behind = self.timing.leaving_pause_us if self.retired else 0
+            self.due_at = now + behind + self.rng.randrange(self.timing.pause_us)
         elif now >= self.due_at:
             self.candidate = Candidate(self.timing, self.memory, self.me, self.tries, now)
             self.out += self.candidate.probe()
@@ -308,9 +329,9 @@
         self.out += primary.settle(now)
         if primary.committed is not None:
             self.commit(primary.committed)
-        heir = primary.heir(now)
+        heir = primary.best_heir(now) if self.retired else primary.heir(now)
         if heir:
-            self.hand_over(now, heir, "its disk is late")
+            self.hand_over(now, heir, "it hands over" if self.retired else "its disk is late")
 
     def hand_over(self, now: int, heir: str, why: str) -> None:
         """Danger: it leads no more before it says so."""
@@ -331,14 +352,13 @@
         self.candidate.choose(now)
 
     def retire(self, now: int) -> None:
-        """The process is about to end: it stands no more, hands over if it leads, is replaced as a copy."""
+        """The process is about to end: it stands no more, hands over if it leads, is replaced as a copy and
+        as a voter.  Without an heir it leads until there is one."""
         self.retired, self.candidate = True, None
         if self.primary_work is not None:
             heir = self.primary_work.best_heir(now)
             if heir:
                 self.hand_over(now, heir, "it hands over")
-            else:
-                self.step_down("it ends")
         elif self.voter.lease_to:
             self.out.append(Send(self.voter.lease_to, ControlMessage()))
 
@@ -383,12 +403,12 @@
 
     def join(self, now: int, join: Join) -> None:
         if self.primary_work is not None:
-            self.primary_work.join(now, join.ip)
+            self.out += self.primary_work.join(now, join.ip)
         elif self.voter.lease_to and self.voter.lease_to != join.ip:
             self.out.append(Send(self.voter.lease_to, ControlMessage(join=join)))
 
     def ask_to_join(self, now: int) -> None:
-        if now >= self.joined_at + self.timing.join_us:
+        if not self.retired and now >= self.joined_at + self.timing.join_us:
             self.joined_at = now
             message = ControlMessage(join=Join(ip=self.me))
             self.out += [Send(ip, message) for ip in sorted({*self.seeds, *self.members} - {self.me})]
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -42,6 +42,23 @@
     return len(set(members).intersection(some)) >= majority(len(members))
 
 
+def electorates(replica_set: ReplicaSet) -> list[Sequence[str]]:
+    """The sets of voters of which a majority each is needed: two while members are being changed."""
+    sets = (replica_set.members, replica_set.previous_members)
+    return [tuple(voters) for voters in sets if voters]
+
+
+def voters(replica_set: ReplicaSet) -> set[str]:
+    """All machines of all electorates."""
+    return {ip for electorate in electorates(replica_set) for ip in electorate}
+
+
+def has_quorum(replica_set: ReplicaSet, some: Iterable[str]) -> bool:
+    """Whether `some` hold a majority of each electorate."""
+    given = set(some)
+    return all(enough(electorate, given) for electorate in electorates(replica_set))
+
+
 def first_state() -> ControlState:
     return ControlState(stamp=stamp(START))
 
--- a/vetchusher/control/witness.py
+++ b/vetchusher/control/witness.py
@@ -22,7 +22,7 @@
 
 from .durable_state import DurableState
 from .messages import Committed, Output, Send
-from .state import START, Point, at, place, point, stamp, with_configuration
+from .state import START, Point, at, place, point, stamp, voters, with_configuration
 from .voter import Voter
 
 
@@ -36,6 +36,7 @@
         self.life = life
         self.sure_from = now  # letters heard before it may have waited here while this machine stood still
         self.agreed: tuple[Point, int] | None = None  # what the primary last said is in force, and when
+        self.change_until = now  # as the primary last said: until then voters may be about to change
         self._committed = ControlState()
         self.out: list[Output] = []
 
@@ -62,7 +63,7 @@
         wait = self.wait(now, sender, ask.released)
         if ask.epoch == 0:
             wait = max(wait, self.voter.patience(now, sender))
-            if sender not in self.memory.record.members and not self.amnesiac:
+            if sender not in voters(self.memory.record) and not self.amnesiac:
                 self.join(now, Join(ip=sender))  # it was left out while it was away
         elif not self.amnesiac and not wait and ask.epoch > self.memory.promised:
             self.promise(now, sender, ask.epoch)
@@ -117,6 +118,8 @@
         answer.stamp.CopyFrom(stamp(memory.synced_stamp))
         answer.record.CopyFrom(stamp(place(memory.record)))
         self.agree(now, renew.committed)
+        if renew.changing:
+            self.change_until = now + self.voter.timing.heard_us
         # Danger: an epoch taken from its primary is a promise too: like a record, told only from the disk.
         self.out += memory.tell(sender, ControlMessage(renewed=answer), memory.office_number)
 
--- /dev/null
+++ b/vetchusher/emulator/control/closure.py
@@ -0,0 +1,62 @@
+"""Whether the control state bears, at this moment, every further loss that is tolerated.
+
+For each set of machines that may be lost now, together with those lost already: the machines that are left
+must be able to elect, and one of those that may stand must hold all that was acknowledged.  It is judged by
+the disks alone, without playing on, so it can be asked at each moment of a run.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from itertools import combinations
+
+from vetchusher.control import PersistentState
+from vetchusher.control.state import Point, at, has_quorum, newest, place
+
+
+@dataclass(slots=True, frozen=True)
+class Moment:
+    """:param disks: what is synced on each machine that runs and has not lost its disk
+    :param spent: machines that count as lost, running or not
+    :param catching_up: successors of some of those: they count no loss of their own yet
+    :param tolerated: how many may be lost at a time
+    :param committed: stamp of the newest state that was acknowledged
+    """
+
+    disks: Mapping[str, PersistentState]
+    spent: frozenset[str]
+    catching_up: frozenset[str]
+    tolerated: int
+    committed: Point
+
+
+def further_losses(moment: Moment) -> Iterator[frozenset[str]]:
+    """Every set of machines that may be lost now, beside those that are."""
+    left = moment.tolerated - len(moment.spent)
+    if left >= 0:
+        well = sorted(moment.disks.keys() - moment.spent - moment.catching_up)
+        yield from map(frozenset, combinations(well, min(left, len(well))))
+
+
+def unbearable(moment: Moment) -> str | None:
+    """A loss that is tolerated and would not be borne; None: there is none."""
+    for lost in further_losses(moment):
+        disks = {ip: disk for ip, disk in moment.disks.items() if ip not in lost}
+        fault = what_fails(disks, moment.committed)
+        if fault:
+            return f"without {', '.join(sorted(lost)) or 'any more'}: {fault}"
+    return None
+
+
+def what_fails(disks: Mapping[str, PersistentState], committed: Point) -> str | None:
+    """What keeps these machines from going on by themselves; None: nothing does."""
+    if not disks:
+        return "nobody is left"
+    record = newest(disk.record for disk in disks.values())
+    if not has_quorum(record, disks):
+        return f"{', '.join(sorted(disks))} are no majority of {place(record)}: {', '.join(record.members)}"
+    heirs = [
+        ip for ip in record.copies if ip in disks and disks[ip].copy and at(disks[ip].state) >= committed
+    ]
+    return None if heirs else f"no copy of {committed} is left of {', '.join(record.copies)}"
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from vetchusher.control import PersistentState
-from vetchusher.control.state import START, Point, at, majority, place
+from vetchusher.control.state import START, Point, at, has_quorum, majority, place, voters
 from vetchusher.distribution.wire_pb2 import ControlState, ReplicaSet
 from vetchusher.emulator.fleet_world import SECOND
 
@@ -87,6 +87,8 @@
     def stands(self, record: ReplicaSet, disks: dict[str, PersistentState | None]) -> None:
         """A record has come to stand: its copies are whole, a majority has it, none is without a copy."""
         members = len(record.members)
+        if members % 2 == 0 and not record.previous_members:
+            self.say(f"record {place(record)} has {members} voters: one more than bears as many losses")
         if len(record.copies) < members - majority(members) + 1 or set(record.copies) - set(record.members):
             self.say(f"record {place(record)}: a majority may hold no copy")
         without = [
@@ -99,10 +101,10 @@
             self.say(f"record {place(record)} names {', '.join(without)}, without a whole copy")
         have = [
             ip
-            for ip in record.members
+            for ip in sorted(voters(record))
             if ((disk := disks[ip]) and place(disk.record) >= place(record)) or self.lost_lately(ip)
         ]
-        if len(have) < majority(members):
+        if not has_quorum(record, have):
             self.say(f"record {place(record)} stands on {', '.join(have)} only")
 
     def floor(self) -> int:
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -8,10 +8,19 @@
 from typing import Any
 from unittest import mock
 
-from vetchusher.control import amnesia, durable_state, election, messages, progress, reconfiguration, voter
+from vetchusher.control import (
+    amnesia,
+    durable_state,
+    election,
+    messages,
+    progress,
+    reconfiguration,
+    seats,
+    voter,
+)
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
-from vetchusher.control.state import START, Point, at, enough, first_record, first_state
+from vetchusher.control.state import START, Point, at, first_record, first_state, has_quorum
 from vetchusher.distribution.wire_pb2 import (
     ControlMessage,
     LeaseRenewalReply,
@@ -33,6 +42,7 @@
     reconfiguration.Reconfiguration.wanted,
     Replica.hand_over,
 )
+REAL_PROPOSE = reconfiguration.Reconfiguration.propose
 
 
 def told_at_once(
@@ -45,7 +55,7 @@
     return ip == self.me or REAL_WHOLE(self, now, ip, since)
 
 
-def one_is_enough(members: Sequence[str], some: Any) -> bool:
+def one_is_enough(replica_set: ReplicaSet, some: Any) -> bool:
     return bool(set(some))
 
 
@@ -64,10 +74,30 @@
     return True
 
 
-def one_zone(self: reconfiguration.Reconfiguration, now: int) -> set[str]:
+def one_zone(
+    self: reconfiguration.Reconfiguration, now: int, members: Sequence[str] | None = None
+) -> set[str]:
     peers = self.progress.peers
     with mock.patch.object(peers, "zones", {}):
-        return REAL_WANTED(self, now)
+        return REAL_WANTED(self, now, members)
+
+
+def without_the_previous(
+    self: reconfiguration.Reconfiguration,
+    copies: Sequence[str],
+    members: Sequence[str],
+    previous: Sequence[str] = (),
+) -> None:
+    REAL_PROPOSE(self, copies, members)
+
+
+def one_more_then_one_less(roster: seats.Roster, size: int) -> list[str]:
+    """The newcomer beside the one that it replaces, which is left out later."""
+    members, spares = list(roster.members), list(roster.spares)
+    if spares:
+        return [*members, spares[0]]
+    lost = [ip for ip in roster.gone_for_long if ip not in roster.keep]
+    return [ip for ip in members if ip != lost[0]] if len(members) > 3 and lost else members
 
 
 def remembers_nothing(self: Replica, *args: Any, **named: Any) -> None:
@@ -119,7 +149,7 @@
 
 def stands_unnamed(self: election.Candidate, answers: dict[str, VoteReply]) -> bool:
     best = self.best(answers)
-    return self.memory.copy and enough(best.members, {self.me, *answers})
+    return self.memory.copy and has_quorum(best, {self.me, *answers})
 
 
 def answers_at_once(self: Replica, now: int, epoch: int, found: ReplicaSet) -> None:
@@ -197,9 +227,9 @@
     "own copy counts before it is synced": ((reconfiguration.Reconfiguration, "whole", own_copy_at_once),),
     "a refused save counts as synced": ((durable_state.DurableState, "saved", refused_is_synced),),
     "acknowledged with one copy": ((Primary, "settled", one_copy_is_enough),),
-    "a record without a majority": ((reconfiguration, "enough", one_is_enough),),
+    "a record without a majority": ((reconfiguration, "has_quorum", one_is_enough),),
     "a copy named before it is whole": ((Primary, "propose", named_before_taught),),
-    "elected without a majority": ((election, "enough", one_is_enough),),
+    "elected without a majority": ((election, "has_quorum", one_is_enough),),
     "a copy stands that the record does not name": ((election.Candidate, "stands", stands_unnamed),),
     "an empty disk votes": ((Replica, "__init__", remembers_nothing),),
     "an empty disk is a copy": ((durable_state.DurableState, "take", recalls_a_copy),),
@@ -226,6 +256,16 @@
         (progress.ProgressTracker, "renewed", never_lower),
     ),
     "in force without the newest": ((Replica, "in_force", in_force_unseen),),
+    "voters changed without the previous ones": (
+        (reconfiguration.Reconfiguration, "propose", without_the_previous),
+    ),
+    "a successor beside the one that it replaces": (
+        (reconfiguration, "next_members", one_more_then_one_less),
+    ),
+    "the lost keep their seats": (
+        (reconfiguration, "next_members", lambda roster, size: list(roster.members)),
+    ),
+    "a leaving machine does not wait": ((Replica, "needed", lambda self, now: False),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
 }
 
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -32,6 +32,8 @@
     "off": lambda world, ip: world.kill(ip),  # the power goes, or the process ends
     "ends": lambda world, ip: world.end(ip),  # in order
     "disk lost": lambda world, ip: world.wipe(ip),  # and off
+    "gone": lambda world, ip: world.lose_for_good(ip),  # with its disk; another takes its place
+    "leaves": lambda world, ip: world.retire_for_good(ip),  # in order, and for good
     "stops": lambda world, ip: world.freeze(ip),
     "goes on": lambda world, ip: world.thaw(ip),
     "cut": lambda world, ip: world.cut(ip),
--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -3,9 +3,11 @@
 
 Two kinds of rounds.  *Wild*: any number of processes, disks and links fail in any way, and up to a minority
 of the members loses its disk, each once.  *Careful*: no more machines are lost at a time than are
-tolerated, one counting as lost until `CATCH_UP` after its return.  It may end with a closing fault, right
-after an acknowledgement: a zone's disks are lost, or as many as are tolerated, while every other machine
-loses power.
+tolerated, one counting as lost until it has had its time to catch up after its return, or its successor has
+where it is replaced by another machine at another address (planned, the new one first, or not).  At each
+moment of it every further loss that is tolerated must be bearable (`closure`).  It may end with a closing
+fault, right after an acknowledgement: a zone's disks are lost, or as many as are tolerated, while every other
+machine loses power.
 """
 
 from __future__ import annotations
@@ -19,9 +21,13 @@
 from vetchusher.control.state import majority, newest
 from vetchusher.emulator.fleet_world import MS, SECOND
 
+from .closure import Moment, unbearable
 from .world import Scene, World
 
 CATCH_UP = 4 * SECOND
+SLOW_CATCH_UP = 10 * SECOND  # where messages or disks take hundreds of times as long as in service
+SLOW_LINK, SLOW_DISK = 30 * MS, 100 * MS
+WATCH = 50 * MS  # between two looks at whether every further loss would be borne
 CALM = 5 * SECOND  # of a majority, after which an order is acknowledged within as long again
 NEVER = 1 << 60
 
@@ -30,6 +36,7 @@
 class Search:
     """:param tolerated: machines that may be lost at a time
     :param kinds: of faults; empty: all
+    :param replacing: part of the losses of a careful round after which another machine takes the place
     :param every: mean time between two faults of a round
     :param gap: longest pause of an operator between two orders
     """
@@ -40,9 +47,17 @@
     kinds: tuple[str, ...] = ()
     wild: float = 0.5
     closing: float = 0.7
+    replacing: float = 0.3
     every: int = 500 * MS
     gap: int = 300 * MS
 
+    @property
+    def catch_up(self) -> int:
+        """How long a machine counts as lost after its return."""
+        scene = self.scene
+        slow = scene.most_us > SLOW_LINK or scene.disk_us > SLOW_DISK or scene.late > 0.01
+        return SLOW_CATCH_UP if slow else CATCH_UP
+
 
 ZONES = (("east", "east", "west"), ("east", "east", "east", "west", "west"), ("east", "west", "north"))
 
@@ -80,7 +95,10 @@
         self.search = search
         self.world = World(search.scene)
         self.rng = self.world.rng
+        self.catch_up = search.catch_up
         self.lost_until: dict[str, int] = {}
+        self.fresh_until: dict[str, int] = {}  # successors of lost machines, which count for them
+        self.careful = False
         self.last_version = 0
         self.acknowledged = 0
         self.at_next: Callable[[], None] | None = None  # what happens upon the next acknowledgement
@@ -105,7 +123,7 @@
                 self.wild_round()
             else:
                 self.careful_round()
-        self.settled(list(world.machines))
+        self.settled(self.present())
         return world.judge.wrong or world.history.wrong()
 
     def passes(self, length: int) -> None:
@@ -154,7 +172,7 @@
 
     def anybody(self) -> str:
         leaders = [ip for ip, m in self.world.machines.items() if m.member and m.member.primary == ip]
-        return self.rng.choice(leaders or list(self.world.machines))
+        return self.rng.choice(leaders or self.present())
 
     # -- faults: each begins at one machine, and says how it ends ------------------------------
 
@@ -213,13 +231,79 @@
 
         def ended() -> None:
             end()
-            self.lost_until[ip] = self.world.at + CATCH_UP
+            self.lost_until[ip] = self.world.at + self.catch_up
 
         self.world.after(length, ended)
 
     def lost(self) -> set[str]:
         return {ip for ip, until in self.lost_until.items() if until > self.world.at}
 
+    def fresh(self) -> set[str]:
+        return {ip for ip, until in self.fresh_until.items() if until > self.world.at}
+
+    def present(self) -> list[str]:
+        """Machines that are not gone for good."""
+        return [ip for ip, machine in self.world.machines.items() if not machine.gone]
+
+    # -- replacements --------------------------------------------------------------------------
+
+    def replaced(self, ip: str) -> None:
+        """Gone for good with its disk; after a while another machine takes its place."""
+        self.world.lose_for_good(ip)
+        self.lost_until[ip] = NEVER
+        self.world.after(self.rng.randrange(3 * SECOND), partial(self.succeeds, ip))
+
+    def replaced_as_planned(self, ip: str) -> None:
+        """The successor starts first; then the machine ends in order and stays away."""
+        successor = self.succeeded(ip)
+        pause = self.rng.choice((SECOND, self.rng.randrange(8 * SECOND)))
+        self.world.after(pause, partial(self.retired, ip, self.fresh_until[successor]))
+
+    def retired(self, ip: str, counts_until: int) -> None:
+        """It counts as lost until its successor has caught up: it waits while that is one too many."""
+        counts = counts_until > self.world.at
+        if counts and len(self.lost() - {ip}) >= self.search.tolerated:
+            self.world.after(WATCH, partial(self.retired, ip, counts_until))
+            return
+        self.lost_until[ip] = max(counts_until, self.lost_until.get(ip, 0))
+        self.world.retire_for_good(ip)
+
+    def succeeds(self, ip: str) -> None:
+        self.succeeded(ip)
+
+    def succeeded(self, ip: str) -> str:
+        """:return: the machine that takes the place, started"""
+        world = self.world
+        successor = world.add(world.machines[ip].zone)
+        world.start(successor)
+        until = self.fresh_until[successor] = world.at + self.catch_up
+        if ip in self.lost():
+            self.lost_until[ip] = until
+        return successor
+
+    # -- every further loss is borne -----------------------------------------------------------
+
+    def watch(self) -> None:
+        """Asks again and again while a careful round lasts."""
+        if not self.careful or self.world.judge.wrong:
+            return
+        fault = unbearable(self.moment())
+        if fault:
+            self.world.judge.say(f"a loss that is tolerated would not be borne, {fault}")
+        self.world.after(WATCH, self.watch)
+
+    def moment(self) -> Moment:
+        world, lost = self.world, self.lost()
+        in_fault = {ip for ip in lost if self.lost_until[ip] == NEVER}
+        disks = {
+            ip: machine.disk
+            for ip, machine in world.machines.items()
+            if ip not in in_fault and machine.member and machine.disk and not machine.member.amnesiac
+        }
+        return Moment(
+            disks, frozenset(lost), frozenset(self.fresh()), self.search.tolerated, world.judge.newest
+        )
+
     def heal(self) -> None:
         world = self.world
         world.cuts.clear()
@@ -244,7 +328,7 @@
             self.wild_fault(ends)
             self.passes(int(rng.expovariate(1 / self.search.every)) + 1)
         self.heal()
-        self.passes(CATCH_UP)  # those that lost their disks, if others are to fail
+        self.passes(self.catch_up)  # those that lost their disks, if others are to fail
         members = self.members()
         minority = len(members) - majority(len(members))
         spoilt = rng.sample(members, minority)
@@ -252,11 +336,11 @@
             self.begin(ip, self.drawn_fault(), 2 * CALM)
         self.settled([ip for ip in members if ip not in spoilt])
         self.heal()
-        self.passes(CATCH_UP)
+        self.passes(self.catch_up)
 
     def wild_fault(self, ends: int) -> None:
         world, rng = self.world, self.rng
-        names = list(world.machines)
+        names = self.present()
         drawn = rng.random()
         if drawn < 0.1 and not self.search.kinds:
             for ip in names:
@@ -277,22 +361,39 @@
     def careful_round(self) -> None:
         world, rng = self.world, self.rng
         ends = world.at + rng.randrange(SECOND, 6 * SECOND)
+        self.careful = True
+        self.watch()
         while world.at < ends and not world.judge.wrong:
-            ip = self.anybody() if rng.random() < 0.5 else rng.choice(list(world.machines))
-            if ip not in self.lost() and len(self.lost()) < self.search.tolerated:
-                length = rng.choice(
-                    (rng.randrange(300 * MS), rng.randrange(SECOND), rng.randrange(3 * SECOND))
-                )
-                wiped = rng.random() < 0.5
-                self.begin(ip, self.wiped if wiped else self.drawn_fault(), length)
-            self.passes(int(rng.expovariate(1 / self.search.every)) + 1)
-        while self.lost() and not world.judge.wrong:
+            self.careful_loss()
+            self.passes(self.until_the_next())
+        while self.lost() | self.fresh() and not world.judge.wrong:
             self.passes(SECOND)
         if rng.random() < self.search.closing:
             self.at_next = lambda: world.after(rng.randrange(30 * MS), self.closing_fault)
             self.passes(6 * SECOND)
-        self.settled(list(world.machines))
-        self.passes(CATCH_UP)
+        self.careful = False
+        self.settled(self.present())
+        self.passes(self.catch_up)
+
+    def until_the_next(self) -> int:
+        """The pause before the next loss of a careful round: drawn, or until the very moment when one more is
+        tolerated again."""
+        ends = [until for until in self.lost_until.values() if self.world.at < until < NEVER]
+        if ends and self.rng.random() < 0.4:
+            return min(ends) - self.world.at
+        return int(self.rng.expovariate(1 / self.search.every)) + 1
+
+    def careful_loss(self) -> None:
+        """One more machine is lost, if that is tolerated."""
+        rng = self.rng
+        ip = self.anybody() if rng.random() < 0.5 else rng.choice(self.present())
+        if ip in self.lost() | self.fresh() or len(self.lost()) >= self.search.tolerated:
+            return
+        if rng.random() < self.search.replacing and not self.search.kinds:
+            rng.choice((self.replaced, self.replaced_as_planned))(ip)
+            return
+        length = rng.choice((rng.randrange(300 * MS), rng.randrange(SECOND), rng.randrange(3 * SECOND)))
+        self.begin(ip, self.wiped if rng.random() < 0.5 else self.drawn_fault(), length)
 
     def wiped(self, ip: str) -> Callable[[], None]:
         self.world.wipe(ip)
@@ -300,8 +401,9 @@
 
     def closing_fault(self) -> None:
         world, rng = self.world, self.rng
-        names = list(world.machines)
-        zone = rng.choice(sorted({m.zone for m in world.machines.values()}))
+        self.careful = False
+        names = self.present()
+        zone = rng.choice(sorted({world.machines[ip].zone for ip in names}))
         wiped = rng.sample(names, self.search.tolerated)
         if rng.random() < 0.5:
             wiped = [ip for ip in names if world.machines[ip].zone == zone]
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -44,6 +44,9 @@
 from .judge import Judge
 
 TICK = 50 * MS
+GRACE = 5 * SECOND  # for a machine that ends in order
+SEEDS = 3  # machines that a settings file names
+SEAT_WAIT = 500 * MS  # as `node.control_node.LAST_VOTE_S`
 MOST_INBOX = 400
 Answer = Callable[[Result[bytes, Fault]], None]
 SILENT: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "no answer"))
@@ -93,6 +96,7 @@
     disk_hangs: bool = False
     disk_refuses: bool = False
     frozen: bool = False
+    gone: bool = False  # for good: it never starts again
     told: tuple[Point, int] = (START, 0)
     inbox: list[Input] = field(default_factory=list)
 
@@ -120,13 +124,19 @@
         self.loss, self.late = scene.loss, scene.late
         self.floors: dict[str, PersistentState] = {}  # what an import brought into an empty folder
         self.machines: dict[str, Machine] = {}
-        for number, zone in enumerate(scene.zones):
-            drawn = 1 + self.rng.choice((-1, 0, 1)) * scene.drift
-            rate = scene.rates[number] if scene.rates else drawn
-            name = f"{number + 1}"
-            self.machines[name] = Machine(name, zone, rate, self.rng.randrange(10**9))
+        for zone in scene.zones:
+            self.add(zone)
         self.seeds = list(self.machines)[: scene.seeds]
 
+    def add(self, zone: str) -> str:
+        """A machine with an empty disk, at an address of its own; it does not run yet."""
+        number = len(self.machines)
+        drawn = 1 + self.rng.choice((-1, 0, 1)) * self.scene.drift
+        rate = self.scene.rates[number] if number < len(self.scene.rates) else drawn
+        name = f"{number + 1}"
+        self.machines[name] = Machine(name, zone, rate, self.rng.randrange(10**9))
+        return name
+
     # -- time ----------------------------------------------------------------------------------
 
     def after(self, delay: int, what: Callable[[], None]) -> None:
@@ -145,13 +155,13 @@
 
     def start(self, ip: str, first: bool = False) -> None:
         machine = self.machines[ip]
-        if machine.member is not None:
+        if machine.member is not None or machine.gone:
             return
         machine.life += 1
         machine.member = Replica(
             ip,
             machine.zone,
-            self.seeds,
+            self.seeds if first else self.seeds_now(),
             first,
             machine.disk,
             self.scene.timing,
@@ -163,6 +173,13 @@
         life = machine.life
         self.after(self.rng.randrange(TICK), lambda: self.tick(machine, life))
 
+    def seeds_now(self) -> list[str]:
+        """What the settings name at a later start: the first seeds, or machines of today in their place."""
+        if not any(self.machines[ip].gone for ip in self.seeds):
+            return self.seeds
+        known = [ip for ip, machine in self.machines.items() if machine.life and not machine.gone]
+        return known[-SEEDS:]
+
     def tick(self, machine: Machine, life: int) -> None:
         if machine.life != life or machine.member is None:
             return
@@ -240,11 +257,38 @@
         self.machines[ip].disk = None
         self.judge.lost_at[ip] = self.at
 
-    def end(self, ip: str) -> None:
-        """In order, as by SIGTERM: it votes on for a while."""
+    def end(self, ip: str, then: Callable[[], None] = lambda: None) -> None:
+        """In order, as by SIGTERM: it goes on until others have taken over what it does, for a while.
+
+        :param then: what follows its end, if that was in order
+        """
         machine, life = self.machines[ip], self.machines[ip].life
         self.give(machine, Retire())
-        self.after(500 * MS, lambda: self.kill(ip) if machine.life == life else None)
+        self.after(TICK, lambda: self.ending(machine, life, self.at, then))
+
+    def ending(self, machine: Machine, life: int, began: int, then: Callable[[], None]) -> None:
+        if machine.life != life or machine.member is None:
+            return
+        seat_end = SEAT_WAIT if machine.member.seated else 0
+        needed = not machine.frozen and machine.member.needed(machine.now(self.at))
+        if self.at < began + (GRACE if needed else seat_end):
+            self.after(TICK, lambda: self.ending(machine, life, began, then))
+            return
+        self.kill(machine.ip)
+        then()
+
+    def retire_for_good(self, ip: str) -> None:
+        """In order; it never comes back."""
+
+        def gone() -> None:
+            self.machines[ip].gone = True
+
+        self.end(ip, gone)
+
+    def lose_for_good(self, ip: str) -> None:
+        """With its disk, and its address is not used again."""
+        self.wipe(ip)
+        self.machines[ip].gone = True
 
     def freeze(self, ip: str) -> None:
         self.machines[ip].frozen = True
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -39,7 +39,7 @@
 PASS_ON_S = 2.5  # for the primary's answer to an order passed on
 MOST_WATCHERS = 2048
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
-LAST_VOTE_S = 0.5  # for others to take over when this one ends
+LAST_VOTE_S = 0.5  # for a learner, if there is one, to take the seat of a machine that ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
 
 
@@ -409,19 +409,31 @@
 
     def reseed(self, node: NodeSettings) -> None:
         self.node = node
-        self.follower.reseed([host for host, _ in node.seed_nodes])
+        seeds = [host for host, _ in node.seed_nodes]
+        self.member.reseed(seeds)
+        self.follower.reseed(seeds)
 
     def leave(self) -> None:
         """Another is to lead, or to hold the copy, at once."""
         self.feed(control.Retire())
 
+    def may_not_end(self, deadline_s: float, seat_end_s: float) -> bool:
+        """Whether this machine, about to end, has something that another has to take over first.
+
+        :param seat_end_s: on the loop's clock: until when it waits for its seat alone to be taken
+        """
+        at = self.loop.time()
+        if self.member.needed(self.now()):
+            return at < deadline_s
+        return self.member.seated and at < seat_end_s
+
     async def close(self, deadline_s: float) -> None:
         """Votes on until others have taken over, for a while.
 
         :param deadline_s: on the loop's clock
         """
-        end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
-        while self.member.needed and self.loop.time() < end:
+        seat_end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
+        while self.may_not_end(deadline_s, seat_end):
             await asyncio.sleep(TICK_S)
         await self.following.close()
         if self.duty is not None:
