--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -139,6 +139,14 @@
         """,
         Scene(),
     ),
+    "one that is heard and does not hear is soon followed": (
+        """
+        s     | 1 east         | 2 east | 3 west | operator
+        0     | deaf           |        |        |
+        3.2   | idle, followed |        |        | r6
+        """,
+        CALM,
+    ),
     "primary stopped with answers waiting": (
         """
         s    | 1 east       | 2 east | 3 west | operator
@@ -480,6 +488,8 @@
     "a successor beside the one that it replaces": "replaced as planned, then another disk is lost",
     "the lost keep their seats": "the successor's disk is lost",
     "a leaving machine does not wait": "all that hold copies leave at once",
+    "renews though it hears nobody": "one that is heard and does not hear is soon followed",
+    "a copy is chosen that does not answer": "one that is heard and does not hear is soon followed",
     "letters that waited through a stop are news": "a backup stopped with old letters waiting",
 }
 TRIES = 10  # seeds, until a planted fault must have been found
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -19,6 +19,7 @@
     LeaseRenewalReply,
     ReplicaSet,
     Stamp,
+    VoteRequest,
     Write,
     WriteReply,
 )
@@ -29,7 +30,7 @@
 from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
 from .progress import Peers, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, Point, at, changed, ordered, stamp, voters, without_configuration
+from .state import START, Point, at, changed, has_quorum, ordered, stamp, voters, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
 MOST_LEARNERS = 8
@@ -64,7 +65,7 @@
         self.epoch = epoch
         self.began = now
         self.renewed_at = now - timing.renew_us
-        self.progress = ProgressTracker(timing, peers, first_round)
+        self.progress = ProgressTracker(timing, peers, first_round, now)
         self.reconfiguration = Reconfiguration(memory, self.progress, epoch, found, losses, now)
         self.whole_from: Point = START  # when this epoch first wrote the configuration that it holds
         self.committed: ControlState | None = None
@@ -75,6 +76,7 @@
         self.reading: list[Waiting] = []
         self.led = False  # the lease was held at least once
         self.lapsed_at: int | None = None
+        self.probing = False  # the last renewal was a question only
 
     # -- the lease -----------------------------------------------------------------------------
 
@@ -97,8 +99,16 @@
         )  # the first answers take their time
         return now >= self.lapsed_at + grace
 
+    def renewal_due(self, now: int) -> bool:
+        """At once when a majority is heard again."""
+        regained = self.probing and not self.unheard(now)
+        return regained or now >= self.renewed_at + self.timing.renew_us
+
     def renew(self, now: int) -> list[Output]:
         self.renewed_at = now
+        self.probing = self.unheard(now)
+        if self.probing:
+            return self.probe()
         round_ = self.progress.next_round(now)
         renew = LeaseRenewal(
             epoch=self.epoch,
@@ -123,6 +133,22 @@
             ip not in leaving and self.progress.heard(now, ip) for ip in self.progress.learners
         )
 
+    def unheard(self, now: int) -> bool:
+        """No majority of the members has been heard lately: nothing it says can bring it a lease.
+
+        Danger: one that is heard and hears nobody would keep the others from another primary.
+        """
+        heard_at = self.peers.heard_at
+        since = now - self.timing.unheard_us
+        others = self.reconfiguration.everybody()
+        heard = {ip for ip in others if max(self.began, heard_at.get(ip, 0)) > since} | {self.peers.me}
+        return not all(has_quorum(one, heard) for one in self.reconfiguration.sets())
+
+    def probe(self) -> list[Output]:
+        """A question that anybody answers and that gives no lease."""
+        message = ControlMessage(ask=VoteRequest(epoch=0))
+        return [Send(ip, message) for ip in self.reconfiguration.everybody()]
+
     def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
         if answer.epoch == self.epoch:
             self.progress.renewed(sender, answer)
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -255,6 +255,10 @@
         (progress.ProgressTracker, "written", copies_for_good),
         (progress.ProgressTracker, "renewed", never_lower),
     ),
+    "renews though it hears nobody": ((Primary, "unheard", lambda self, now: False),),
+    "a copy is chosen that does not answer": (
+        (progress.ProgressTracker, "answers", lambda self, now, ip: True),
+    ),
     "in force without the newest": ((Replica, "in_force", in_force_unseen),),
     "voters changed without the previous ones": (
         (reconfiguration.Reconfiguration, "propose", without_the_previous),
