--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 import testtools
+from returns.result import Failure
 
 from vetchusher.control import (
     Output,
@@ -19,6 +20,7 @@
 )
 from vetchusher.control.durable_state import DurableState
 from vetchusher.control.election import Candidate
+from vetchusher.control.orders import OrderBatch
 from vetchusher.control.progress import Peers, ProgressTracker
 from vetchusher.control.state import (
     changed,
@@ -32,9 +34,11 @@
 from vetchusher.distribution.wire_pb2 import ControlMessage, Drop, LeaseRenewalReply, Stamp, VoteReply, Write
 from vetchusher.emulator.control.mutations import PLANTED, planted
 from vetchusher.emulator.control.scenarios import Story
-from vetchusher.emulator.control.search import Trouble, drawn
+from vetchusher.emulator.control.search import Trouble, drawn, raced
 from vetchusher.emulator.control.world import Scene, World
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.events import Event
+from vetchusher.kinds import Kind
 
 CALM = Scene(loss=0.0, late=0.0)
 FIVE = Scene(seeds=5, losses=2)
@@ -272,6 +276,50 @@
         """,
         Scene(),
     ),
+    "one number, one body, one answer": (
+        """
+        s     | 1 east | 2 east | 3 west | operator
+        0     |        |        |        | r5, r5b refused, r5, evacuate north, evacuate north
+        ack   |        |        |        | r5 at 2, r5b refused at 3, evacuate north at 3
+        ack   | off    |        |        | r5, r5b refused, evacuate north
+        ack+1 | on     |        |        | r6
+        ack   |        |        |        | r5, r5b, reads r6
+        ack   | off    | off    | off    |
+        ack+1 | on     | on     | on     | r6, r6b refused
+        """,
+        CALM,
+    ),
+    "overtaken in the same write": (
+        """
+        s     | 1 east | 2 east | 3 west | operator
+        0     |        |        |        | r5, r7, r5b refused, r4, r5
+        0.006 |        |        |        | r5b refused, r6, r6b refused, r7b refused
+        ack   |        |        |        | reads r7
+        """,
+        replace(CALM, disk_us=60 * MS),
+    ),
+    "the number of a write that was lost is free": (
+        """
+        s     | 1 east     | 2 east | 3 west | operator
+        0     | x2, x3     |        |        | r5 at 1 once
+        0.3   | off        |        |        |
+        3     |            |        |        | r5b, r5 refused
+        ack   | on, =2, =3 |        |        |
+        ack+4 |            |        |        | r5b at 1, r5 refused at 1, reads r5
+        """,
+        Scene(),
+    ),
+    "a later primary commits what it found": (
+        """
+        s     | 1 east | 2 east | 3 west | operator
+        0     | deaf   |        |        | r5 at 1 once
+        0.3   | off    |        |        |
+        3     |        |        |        | r5b refused, r5
+        ack   | on, joined |    |        |
+        ack+4 |        |        |        | r5 at 1, r5b refused at 1
+        """,
+        CALM,
+    ),
     "the last backup is lost, and the primary after it": (
         """
         s     | 1 east | 2 east | 3 west | operator
@@ -401,13 +449,24 @@
     "a word of a copy counts for good": "a copy told of before its disk was lost",
     "in force without the newest": "one that got no writes",
     "letters that waited through a stop are news": "a backup stopped with old letters waiting",
+    "a number has any body": "one number, one body, one answer",
+    "refused before the other is committed": "races",
+    "sent twice, acknowledged before it is committed": "races",
+    "what a batch overtook is forgotten": "overtaken in the same write",
+    "what the last batch took is forgotten": "races",
+    "old numbers are refused too": "races",
+    "refused by what is not committed": "races",
+    "acknowledged by what is not committed": "races",
 }
+HUNDREDS = 200  # of changes in one run
 TRIES = 10  # seeds, until a planted fault must have been found
 
 
 def played(name: str, seed: int) -> list[str]:
     if name == "random search":
         return Trouble(drawn(seed)).run()
+    if name == "races":
+        return Trouble(raced(seed)).run()
     text, scene = STORIES[name]
     return Story(text, replace(scene, seed=seed)).run()
 
@@ -421,6 +480,13 @@
         wrong = {seed: played("random search", seed)[:1] for seed in range(1, 7)}
         self.assertEqual({}, {seed: found for seed, found in wrong.items() if found})
 
+    def test_eight_operators_who_choose_one_anothers_numbers(self) -> None:
+        runs = [Trouble(raced(seed)) for seed in range(1, 5)]
+        self.assertEqual([[]] * len(runs), [run.run()[:1] for run in runs])
+        for run in runs:
+            self.assertTrue(len(run.world.judge.confirmed) > HUNDREDS)
+            self.assertTrue(run.world.events["ORDERS_CONFLICT"] > HUNDREDS)
+
     def test_every_guard_taken_out_is_found(self) -> None:
         self.assertEqual(PLANTED.keys(), FOUND_BY.keys())
         for fault, name in FOUND_BY.items():
@@ -449,12 +515,13 @@
         state = ordered(first_state(), Replace(7, b"seven")).unwrap()
         state = ordered(state, SetEvacuation("north", True)).unwrap()
         for order in (
-            Replace(7, b"other"),
+            Replace(7, b"seven"),
             Replace(6, b"six"),
             SetEvacuation("north", True),
             SetEvacuation("x", False),
         ):
             self.assertIs(state, ordered(state, order).unwrap())
+        self.assertIs(Kind.CONFLICT, ordered(state, Replace(7, b"other")).failure().kind)
         after = ordered(
             ordered(state, SetEvacuation("south", True)).unwrap(), SetEvacuation("north", False)
         ).unwrap()
@@ -462,6 +529,33 @@
             [("south", True, 2), ("north", False, 3)], [(e.zone, e.on, e.order) for e in after.evacuations]
         )
 
+    def test_one_number_has_one_body(self) -> None:
+        """Of a batch that goes from r5 to r8: what is refused, and what waits for the write."""
+        held = ordered(first_state(), Replace(5, b"five")).unwrap()
+        first, second = OrderBatch(held, None), None
+        orders = [(5, b"five"), (5, b"other"), (4, b"x"), (8, b"8"), (6, b"6"), (6, b"other"), (6, b"6")]
+        told = [first.decide(Replace(*order)) for order in orders]
+        kinds = [d.outcome.failure().kind if isinstance(d.outcome, Failure) else None for d in told]
+        self.assertEqual([None, Kind.CONFLICT, None, None, None, Kind.CONFLICT, None], kinds)
+        self.assertEqual([False, False, False, True, True, True, True], [d.relies_on_write for d in told])
+        self.assertEqual([Event.ORDERS_CONFLICT] * 2, [d.event.event for d in told if d.event])
+        # Orders that came while r8 was written: r5 was held as they came, and 6 was given away.
+        for number, body, refused in (
+            (5, b"x", 1),
+            (5, b"five", 0),
+            (6, b"y", 1),
+            (4, b"y", 0),
+            (7, b"7", 0),
+        ):
+            second = OrderBatch(first.state, first.numbers())
+            decision = second.decide(Replace(number, body))
+            self.assertEqual((bool(refused), False), (bool(decision.event), decision.relies_on_write))
+        # Later on, numbers below are acknowledged and change nothing.
+        third = OrderBatch(second.state, second.numbers())
+        self.assertIs(None, third.decide(Replace(5, b"x")).event)
+        # A batch without configurations forgets nothing.
+        self.assertIs(first.numbers().bodies, OrderBatch(first.state, first.numbers()).numbers().bodies)
+
     def test_a_copy_comes_from_letters_to_this_life_only_and_goes_as_told(self) -> None:
         """A copy that was lost does not come back by a late letter; a late order drops no newer copy."""
         record = first_record("123")
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -124,6 +124,7 @@
         for fault in (
             Fault(Kind.INVALID, "configuration.version: no"),
             Fault(Kind.NOT_FOUND, "none yet"),
+            Fault(Kind.CONFLICT, "r5 is taken by another body"),
             Fault(Kind.NOT_SETTLED, "no primary", 250_000),
             Fault(Kind.NOT_SETTLED, "no majority settled it in time"),
         ):
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -26,10 +26,11 @@
 from vetchusher.kinds import Fault, Kind
 
 from .durable_state import DurableState
-from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
+from .messages import Committed, Completed, Order, Output, Retrieve, Send, Submitted, Timing
+from .orders import Decision, Numbers, OrderBatch
 from .progress import Peers, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, Point, at, changed, ordered, stamp, without_configuration
+from .state import START, Point, at, changed, stamp, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
 MOST_LEARNERS = 8
@@ -70,7 +71,8 @@
         self.committed: ControlState | None = None
         self.write_began: int | None = None
         self.wrote_at = now
-        self.writing: list[tuple[Waiting, Result[bytes, Fault]]] = []
+        self.writing: list[tuple[Waiting, Decision]] = []
+        self.numbers: Numbers | None = None  # of the last batch with a configuration
         self.waiting: list[Waiting] = []
         self.reading: list[Waiting] = []
         self.led = False  # the lease was held at least once
@@ -276,19 +278,18 @@
 
     def next_write(self, now: int) -> list[Output]:
         """All orders that wait go into one write."""
-        held = state = self.memory.state
-        batch, self.waiting = self.waiting, []
+        batch = OrderBatch(self.memory.state, self.numbers)
+        waiting, self.waiting = self.waiting, []
         done: list[Output] = []
-        for waiting in batch:
-            order = waiting.order
-            if ordered(held, order).value_or(None) is held and (state is held or isinstance(order, Replace)):
-                done.append(Completed(waiting.number, Success(b"")))  # it relies on nothing that is under way
-                continue
-            after = ordered(state, order)
-            state = after.value_or(state)
-            self.writing.append((waiting, after.map(lambda _: b"")))
-        if state is not held or self.dropped(now):
-            return done + self.write(now, state)
+        for one in waiting:
+            decision = batch.decide(one.order)
+            if decision.relies_on_write:
+                self.writing.append((one, decision))
+            else:
+                done += decision.answer(one.number)
+        self.numbers = batch.numbers()
+        if batch.state is not batch.held or self.dropped(now):
+            return done + self.write(now, batch.state)
         return done
 
     # -- copies that are needed no more --------------------------------------------------------
@@ -330,13 +331,13 @@
             out += [Completed(w.number, self.read()) for w in self.reading]
             self.reading = []
             if self.write_began is None:
-                out += [Completed(w.number, outcome) for w, outcome in self.writing]
+                out += [one for w, decision in self.writing for one in decision.answer(w.number)]
                 self.writing = []
         late = [w for w in self.all_waiting() if now >= w.until]
         if late:
             self.reading = [w for w in self.reading if now < w.until]
             self.waiting = [w for w in self.waiting if now < w.until]
-            self.writing = [(w, outcome) for w, outcome in self.writing if now < w.until]
+            self.writing = [(w, decision) for w, decision in self.writing if now < w.until]
         return out + unsettled(late, "not on enough disks in time")
 
     def all_waiting(self) -> list[Waiting]:
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -77,16 +77,27 @@
 def ordered(state: ControlState, order: Order) -> Result[ControlState, Fault]:
     """The state after one order; the very same object where the order changes nothing."""
     if isinstance(order, Replace):
-        return Success(state if order.version <= state.version else replaced(state, order))
+        return replaced(state, order)
     if isinstance(order, SetEvacuation):
         return evacuated(state, order)
     return Success(state)
 
 
-def replaced(state: ControlState, order: Replace) -> ControlState:
+def replaced(state: ControlState, order: Replace) -> Result[ControlState, Fault]:
+    """The highest version holds: a lower one changes nothing, and an equal one has to be the same order."""
+    if order.version == state.version and order.body != state.configuration:
+        return Failure(conflict(order.version))
+    if order.version <= state.version:
+        return Success(state)
     made = changed(state)
     made.version, made.configuration = order.version, order.body
-    return made
+    return Success(made)
+
+
+def conflict(version: int) -> Fault:
+    return Fault(
+        Kind.CONFLICT, f"r{version} is taken by another body: read it back, and send a higher version"
+    )
 
 
 def evacuated(state: ControlState, order: SetEvacuation) -> Result[ControlState, Fault]:
--- a/vetchusher/emulator/control/cases.py
+++ b/vetchusher/emulator/control/cases.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from vetchusher.control import SetEvacuation, Timing
+from vetchusher.control import Replace, SetEvacuation, Timing
 from vetchusher.emulator.explorer import TIME
 
 from .encoding_cases import UNIT, Cell, Cells
@@ -186,6 +186,16 @@
     return step(step(state, "order 1 to 1"), "order 2 to 1")
 
 
+def one_number() -> State:
+    """Two bodies under one number are on their way, and one of them is sent twice."""
+    state = settled()
+    bodies = (b"r2", b"r2, another", b"r2")
+    state.operators = tuple(Operator(Replace(2, body)) for body in bodies)
+    for place in (1, 2):
+        state = step(state, f"order {place} to 1")
+    return state
+
+
 @dataclass(slots=True, frozen=True)
 class Case:
     """:param troubles: the budget beside `steps` and `delays`"""
@@ -227,5 +237,6 @@
     "a disk emptied": Case(emptied, Budget(crashes=1, losses=1)),
     "a voter restarted": Case(restarted, Budget(cuts=1, crashes=1)),
     "handing over": Case(writing, Budget(ends=1, crashes=1, losses=1)),
+    "one number, two bodies": Case(one_number, Budget(crashes=1, losses=1)),
     "evacuations": Case(evacuating, Budget(crashes=1, losses=1)),
 }
--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -40,7 +40,7 @@
 from vetchusher.events import Event, LogEvent
 
 from .encoding_cases import UNIT, Cell, Cells, clone, digest
-from .judge import Judge
+from .judge import Judge, committed_version, in_conflict
 
 LATE = 2 * UNIT  # a letter older than that is lost, as every question is by then
 BEGIN = 100 * UNIT
@@ -108,12 +108,15 @@
 
     :param tries: how often it may still be sent
     :param number: of the attempt whose answer is waited for; 0: none
+    :param floor: what the machine asked had committed as that attempt came; None: nothing yet
+    :param done: it was acknowledged, or refused for good
     """
 
     order: Order
     tries: int = 2
     number: int = 0
     to: str = ""
+    floor: int | None = None
     done: bool = False
 
 
@@ -142,7 +145,7 @@
 
     def shot(self) -> bytes:
         messages = self.messages if self.budget.delays is not None else tuple(sorted(self.messages))
-        operators = tuple((o.tries, o.number, o.to, o.done) for o in self.operators)
+        operators = tuple((o.tries, o.number, o.to, o.floor, o.done) for o in self.operators)
         keys = tuple(c.key for c in self.cells)
         return digest(self.at, keys, messages, self.cuts, astuple(self.budget), operators, self.judged)
 
@@ -154,7 +157,8 @@
                 judge = self.judge
                 self.judged = digest(
                     judge.sent, judge.acknowledged, judge.at_ack, judge.old, judge.read, judge.expected,
-                    judge.primaries, judge.committed, judge.lost_at,
+                    judge.primaries, judge.committed, judge.lost_at, judge.taken, judge.confirmed,
+                    judge.answered,
                 )  # fmt: skip
                 self.own_judge = False
             self.seen = self.judge.wrong[0] if self.judge.wrong else None
@@ -168,7 +172,7 @@
                 self.judge.in_force(cell.ip, seen.in_force)
             if seen.body is not None:
                 judge = self.judge
-                if next((v for v, b in judge.sent.items() if b == seen.body), 0) != judge.read:
+                if judge.version_of(seen.body) != judge.read:
                     judge = self.judging()
                 judge.reads(seen.body, judge.floor())
 
@@ -221,9 +225,12 @@
             if operator.number != out.number:
                 continue
             ok, order = isinstance(out.outcome, Success), operator.order
-            self.operate(place, replace(operator, number=0, to="", done=ok))
-            if ok and isinstance(order, Replace):
-                self.judging().acked(order.version)
+            refused = in_conflict(out.outcome)
+            self.operate(place, replace(operator, number=0, to="", done=ok or refused))
+            if refused and isinstance(order, Replace):
+                self.judging().refused(order.version, order.body)
+            elif ok and isinstance(order, Replace):
+                self.judging().acked(order.version, order.body, operator.floor)
             elif ok and isinstance(order, SetEvacuation):
                 self.judging().expected[order.zone] = order.on
 
@@ -325,9 +332,12 @@
     def ordered(self, place: int, cell: Cell) -> State:
         operator = self.operators[place]
         order, number = operator.order, 10 * (place + 1) + operator.tries
-        self.operate(place, replace(operator, tries=operator.tries - 1, number=number, to=cell.ip))
+        assert cell.member is not None
+        floor = committed_version(cell.member)
+        sent = replace(operator, tries=operator.tries - 1, number=number, to=cell.ip, floor=floor)
+        self.operate(place, sent)
         if isinstance(order, Replace):
-            self.judging().sent.setdefault(order.version, order.body)
+            self.judging().sends(order.version, order.body)
         elif isinstance(order, SetEvacuation):
             self.judging().expected.pop(order.zone, None)
         return self.carry(self.hall.give(cell, self.at, Submitted(number, order), (number, order)))
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -6,31 +6,50 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from vetchusher.control import PersistentState
+from returns.result import Failure, Result
+
+from vetchusher.control import PersistentState, Replica
 from vetchusher.control.state import START, Point, at, majority, place
 from vetchusher.distribution.wire_pb2 import ControlState, ReplicaSet
 from vetchusher.emulator.fleet_world import SECOND
+from vetchusher.kinds import Fault, Kind
 
 # How old what is said to be in force may be: heard within a second, from a primary whose lease had not run
 # out, in a letter that was late.
 STALE = 4 * SECOND
 
 
+def committed_version(member: Replica) -> int | None:
+    """What it has committed as the primary of this epoch; None: nothing, or it leads none."""
+    work = member.primary_work
+    return work.committed.version if work is not None and work.committed is not None else None
+
+
+def in_conflict(outcome: Result[bytes, Fault]) -> bool:
+    return isinstance(outcome, Failure) and outcome.failure().kind is Kind.CONFLICT
+
+
 @dataclass(slots=True)
 class Judge:
     """It owns what was acknowledged, read and committed in one run.
 
     :param wrong: what was seen and may not be
-    :param sent: body of each version ever sent
+    :param sent: bodies that were ever sent under each version
     :param acknowledged: highest version acknowledged
+    :param taken: body of each version that was committed
+    :param confirmed: body of each version that was acknowledged while no higher one was committed
+    :param answered: versions and bodies that were ever acknowledged
     :param expected: zones whose last order was acknowledged, with no other on its way: whether it is
     evacuated
     """
 
     wrong: list[str] = field(default_factory=list)
     at: int = 0
-    sent: dict[int, bytes] = field(default_factory=dict)
+    sent: dict[int, tuple[bytes, ...]] = field(default_factory=dict)
     acknowledged: int = 0
+    taken: dict[int, bytes] = field(default_factory=dict)
+    confirmed: dict[int, bytes] = field(default_factory=dict)
+    answered: set[tuple[int, bytes]] = field(default_factory=set)
     at_ack: deque[tuple[int, int]] = field(default_factory=deque)  # when, what; those of the last `STALE`
     old: int = 0  # what was acknowledged longer ago than that
     read: int = 0
@@ -61,8 +80,10 @@
         self.newest = stamp
         if state.version < self.acknowledged:
             self.say(f"{who} committed {stamp} with r{state.version}: r{self.acknowledged} was acknowledged")
-        if state.version and state.configuration != self.sent.get(state.version):
+        if state.version and state.configuration not in self.sent.get(state.version, ()):
             self.say(f"{who} committed r{state.version} that is not as it was sent")
+        if self.taken.setdefault(state.version, state.configuration) != state.configuration:
+            self.say(f"{who} committed r{state.version} with another body than before")
         self.zones(who, state)
 
     def zones(self, who: str, state: ControlState) -> None:
@@ -71,10 +92,35 @@
             if is_on.get(zone, False) != on:
                 self.say(f"{who} committed {at(state)}: zone {zone} is not as acknowledged")
 
-    def acked(self, version: int) -> None:
+    def sends(self, version: int, body: bytes) -> None:
+        bodies = self.sent.get(version, ())
+        if body not in bodies:
+            self.sent[version] = (*bodies, body)
+
+    def acked(self, version: int, body: bytes, floor: int | None) -> None:
+        """:param floor: what the machine asked had committed as the order came; None: nothing yet"""
+        newest = max(self.taken, default=0)
+        if version > newest:
+            self.say(f"r{version} was acknowledged, and r{newest} is the newest committed")
+        counts = version == newest or (floor is not None and floor <= version)
+        if version == newest and self.taken[version] != body:
+            self.say(f"r{version} was acknowledged with another body than is in force")
+        if counts and self.confirmed.setdefault(version, body) != body:
+            self.say(f"r{version} was acknowledged with two bodies")
+        self.answered.add((version, body))
         self.acknowledged = max(self.acknowledged, version)
         self.at_ack.append((self.at, version))
 
+    def refused(self, version: int, body: bytes) -> None:
+        """As another body has that number."""
+        newest = max(self.taken, default=0)
+        if (version, body) in self.answered or self.taken.get(version) == body:
+            self.say(f"r{version} was refused, though this very body was acknowledged or committed")
+        if len(self.sent[version]) < 2:
+            self.say(f"r{version} was refused, and has one body")
+        if version > newest:
+            self.say(f"r{version} was refused, and r{newest} is the newest committed")
+
     def in_force(self, who: str, version: int) -> None:
         while self.at_ack and self.at_ack[0][0] <= self.at - STALE:
             self.old = max(self.old, self.at_ack.popleft()[1])
@@ -109,9 +155,13 @@
         """What a reading that begins now has to show at least."""
         return max(self.acknowledged, self.read)
 
+    def version_of(self, body: bytes) -> int:
+        """0: nobody sent it."""
+        return next((version for version, bodies in self.sent.items() if body in bodies), 0)
+
     def reads(self, body: bytes, floor: int) -> int:
         """The version that was read."""
-        version = next((v for v, b in self.sent.items() if b == body), 0)
+        version = self.version_of(body)
         if not version:
             self.say("a reading showed what nobody sent")
         if version < floor:
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -8,17 +8,31 @@
 from typing import Any
 from unittest import mock
 
-from vetchusher.control import amnesia, durable_state, election, messages, progress, reconfiguration, voter
+from returns.result import Failure, Result, Success
+
+from vetchusher.control import (
+    amnesia,
+    durable_state,
+    election,
+    messages,
+    orders,
+    progress,
+    reconfiguration,
+    state,
+    voter,
+)
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
 from vetchusher.control.state import START, Point, at, enough, first_record, first_state
 from vetchusher.distribution.wire_pb2 import (
     ControlMessage,
+    ControlState,
     LeaseRenewalReply,
     ReplicaSet,
     VoteReply,
     WriteReply,
 )
+from vetchusher.kinds import Fault
 
 REAL_START, REAL_FOLLOWS = Replica.__init__, Replica.follows
 REAL_RENEWED, REAL_ASKED, REAL_WRITTEN = (
@@ -34,6 +48,9 @@
     Replica.hand_over,
 )
 
+REAL_ORDERS, REAL_SUBMIT = orders.OrderBatch.replace, Primary.submit
+REAL_BATCH = orders.OrderBatch.__init__
+
 
 def told_at_once(
     self: durable_state.DurableState, to: str, message: ControlMessage, number: int
@@ -192,6 +209,60 @@
     self.primary_work = work
 
 
+def any_body(held: ControlState, order: messages.Replace) -> Result[ControlState, Fault]:
+    """What is not above the version held changes nothing, whatever its body."""
+    return Success(held) if order.version <= held.version else state.replaced(held, order)
+
+
+def any_body_is_acknowledged(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    after = any_body(self.state, order)
+    self.state = after.value_or(self.state)
+    return orders.Decision(Success(b""), order.version > self.held.version)
+
+
+def refuses_at_once(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    decision = REAL_ORDERS(self, order)
+    return replace(decision, relies_on_write=False) if isinstance(decision.outcome, Failure) else decision
+
+
+def acknowledges_at_once(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    """What is in the batch already."""
+    known = self.bodies.get(order.version) == orders.digest(order.body)
+    decision = REAL_ORDERS(self, order)
+    return replace(decision, relies_on_write=False) if known else decision
+
+
+def overtaken_are_forgotten(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    decision = REAL_ORDERS(self, order)
+    self.bodies = {self.held.version: self.bodies[self.held.version]}
+    return decision
+
+
+def last_batch_is_forgotten(self: orders.OrderBatch, held: ControlState, before: Any) -> None:
+    REAL_BATCH(self, held, None)
+
+
+def every_number_counts(self: orders.OrderBatch, held: ControlState, before: Any) -> None:
+    REAL_BATCH(self, held, orders.Numbers(0, before.bodies if before else {}))
+
+
+def refuses_by_what_it_holds(self: Primary, now: int, asked: messages.Submitted) -> list[messages.Output]:
+    """By a body that may not be committed."""
+    if isinstance(asked.order, messages.Replace):
+        found = state.ordered(self.memory.state, asked.order)
+        if isinstance(found, Failure):
+            return [messages.Completed(asked.number, Failure(found.failure()))]
+    return REAL_SUBMIT(self, now, asked)
+
+
+def acknowledges_what_it_holds(self: Primary, now: int, asked: messages.Submitted) -> list[messages.Output]:
+    order, held = asked.order, self.memory.state
+    if isinstance(order, messages.Replace) and order.version == held.version:
+        if order.body == held.configuration:
+            return [messages.Completed(asked.number, Success(b""))]
+    return REAL_SUBMIT(self, now, asked)
+
+
 PLANTED: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "told before it is synced": ((durable_state.DurableState, "tell", told_at_once),),
     "own copy counts before it is synced": ((reconfiguration.Reconfiguration, "whole", own_copy_at_once),),
@@ -227,6 +298,16 @@
     ),
     "in force without the newest": ((Replica, "in_force", in_force_unseen),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
+    "a number has any body": ((orders.OrderBatch, "replace", any_body_is_acknowledged),),
+    "refused before the other is committed": ((orders.OrderBatch, "replace", refuses_at_once),),
+    "sent twice, acknowledged before it is committed": (
+        (orders.OrderBatch, "replace", acknowledges_at_once),
+    ),
+    "what a batch overtook is forgotten": ((orders.OrderBatch, "replace", overtaken_are_forgotten),),
+    "what the last batch took is forgotten": ((orders.OrderBatch, "__init__", last_batch_is_forgotten),),
+    "old numbers are refused too": ((orders.OrderBatch, "__init__", every_number_counts),),
+    "refused by what is not committed": ((Primary, "submit", refuses_by_what_it_holds),),
+    "acknowledged by what is not committed": ((Primary, "submit", acknowledges_what_it_holds),),
 }
 
 
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -25,6 +25,7 @@
 
 WARM_UP = 2 * SECOND
 PATIENCE = 20 * SECOND
+VARIANTS = "abcdefgh"  # of bodies under one version
 LAST = 2 * SECOND  # that a story goes on after its last row
 
 ACTS: dict[str, Callable[[World, str], None]] = {
@@ -126,11 +127,15 @@
             world.cuts -= {(ip, act[1:]), (act[1:], ip)}
 
     def order(self, text: str) -> None:
-        """`r5`, `evacuate Z`, `return Z`, `reads r5`; `... at 1`: to that machine, else to the primary;
-        `... once`: not again, and nobody waits for it."""
+        """`r5`, `evacuate Z`, `return Z`, `reads r5`; `r5b`: another body under that number.
+
+        `... refused`: and it must be; `... at 1`: to that machine, else to the primary; `... once`: not
+        again, and nobody waits for it.
+        """
         text, once_only, _ = text.partition(" once")
         self.open += not once_only
         text, _, to = text.partition(" at ")
+        text, wanted, _ = text.partition(" refused")
         kind, _, what = text.partition(" ")
         world = self.world
 
@@ -147,6 +152,16 @@
                 world.judge.say(f"r{version} was read, not {what}")
             done(version is not None)
 
+        def taken(ok: bool) -> None:
+            if ok and wanted:
+                world.judge.say(f"{kind} was acknowledged")
+            done(ok)
+
+        def refused() -> None:
+            if not wanted:
+                world.judge.say(f"{kind} was refused")
+            done(True)
+
         def once() -> None:
             ip = to or next((ip for ip in world.machines if world.holds(ip)), "1")
             if kind == "reads":
@@ -154,7 +169,8 @@
             elif kind in ("evacuate", "return"):
                 world.evacuate(ip, what, kind == "evacuate", done)
             else:
-                world.replace(ip, int(kind[1:]), done)
+                version = kind.rstrip(VARIANTS)
+                world.replace(ip, int(version[1:]), taken, kind.removeprefix(version), refused)
 
         once()
 
--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -12,18 +12,20 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from functools import partial
 
 from vetchusher.control import Timing
 from vetchusher.control.state import majority, newest
 from vetchusher.emulator.fleet_world import MS, SECOND
 
+from .racers import Racer
 from .world import Scene, World
 
 CATCH_UP = 4 * SECOND
 CALM = 5 * SECOND  # of a majority, after which an order is acknowledged within as long again
 NEVER = 1 << 60
+RACERS = 8  # orders under way at once
 
 
 @dataclass(slots=True)
@@ -32,6 +34,7 @@
     :param kinds: of faults; empty: all
     :param every: mean time between two faults of a round
     :param gap: longest pause of an operator between two orders
+    :param racers: operators more, who choose one another's numbers
     """
 
     scene: Scene = field(default_factory=Scene)
@@ -42,6 +45,7 @@
     closing: float = 0.7
     every: int = 500 * MS
     gap: int = 300 * MS
+    racers: int = 0
 
 
 ZONES = (("east", "east", "west"), ("east", "east", "east", "west", "west"), ("east", "west", "north"))
@@ -73,6 +77,11 @@
     )
 
 
+def raced(seed: int) -> Search:
+    """The same with eight operators more, in haste."""
+    return replace(drawn(seed), racers=RACERS)
+
+
 class Trouble:
     """It owns which machines are lost, and until when."""
 
@@ -94,6 +103,8 @@
             world.after(self.rng.randrange(300 * MS), partial(world.start, ip, first=True))
         for number, zone in enumerate(("north", "south")):
             self.operate(zone, number)
+        for number in range(self.search.racers):
+            world.after(SECOND, Racer(world, number, self.next_version, self.anybody).begin)
         self.passes(SECOND)
         for ip in world.machines:
             world.after(self.rng.randrange(4 * SECOND), partial(world.start, ip))
@@ -113,6 +124,11 @@
 
     # -- operators -----------------------------------------------------------------------------
 
+    def next_version(self, steps: int) -> int:
+        """Above all that were sent by as many steps; 0: the newest that was."""
+        self.last_version += steps
+        return self.last_version
+
     def operate(self, zone: str, number: int) -> None:
         """One operator: a new order whenever the last one was acknowledged, sent again until it is."""
         world, rng = self.world, self.rng
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -41,14 +41,34 @@
 from vetchusher.kinds import Fault, Kind
 
 from .call_history import History, Read, Wrote
-from .judge import Judge
+from .judge import Judge, committed_version, in_conflict
 
 TICK = 50 * MS
 MOST_INBOX = 400
+PATIENCE = 4 * SECOND  # of an operator, for one answer
 Answer = Callable[[Result[bytes, Fault]], None]
 SILENT: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "no answer"))
 
 
+@dataclass(slots=True)
+class Attempt:
+    """An order that was sent and is not answered yet.
+
+    :param floor: the version that the machine asked had committed as the order came; None: none yet
+    :param given_up: whoever sent it waits no longer; the judge hears the answer all the same
+    """
+
+    order: Order
+    answer: Answer
+    floor: int | None = None
+    given_up: bool = False
+
+
+def body_of(version: int, variant: str = "") -> bytes:
+    """:param variant: tells bodies under one version apart"""
+    return b"r%d" % version + variant.encode() + b"." * 50
+
+
 @dataclass(slots=True)
 class Scene:
     """One run.
@@ -113,7 +133,7 @@
         self.judge = Judge()
         self.cuts: set[tuple[str, str]] = set()  # from, to
         self.no_writes: set[str] = set()  # letters with a state are lost on their way there
-        self.attempts: dict[int, tuple[str, Answer]] = {}
+        self.attempts: dict[int, Attempt] = {}
         self.history = History()  # of configurations; zones are the judge's
         self.events: Counter[str] = Counter()
         self.log: list[tuple[int, str, LogEvent]] = []
@@ -186,6 +206,8 @@
             if len(machine.inbox) < MOST_INBOX:
                 machine.inbox.append(event)
             return
+        if isinstance(event, Submitted) and event.number in self.attempts:
+            self.attempts[event.number].floor = committed_version(machine.member)
         for out in machine.member.handle(machine.now(self.at), event):
             self.carry(machine, out)
         self.look()
@@ -308,23 +330,25 @@
 
     # -- orders --------------------------------------------------------------------------------
 
-    def order(self, ip: str, order: Order, answer: Answer, patience: int = 4 * SECOND) -> None:
+    def order(self, ip: str, order: Order, answer: Answer, patience: int = PATIENCE) -> None:
         """To any machine; one that is not the primary passes it on to the one that it takes for it."""
         self.serial += 1
         number = self.serial
         to = self.passed_on(ip)
 
         def give_up() -> None:
-            if self.attempts.pop(number, None):
+            attempt = self.attempts.get(number)
+            if attempt is not None and not attempt.given_up:
+                attempt.given_up = True
                 answer(SILENT)
 
         self.after(patience, give_up)
         if to is None:
             self.after(10 * MS, lambda: answer(SILENT))
             return
-        self.attempts[number] = (to, answer)
+        self.attempts[number] = Attempt(order, answer)
         if isinstance(order, Replace):
-            self.judge.sent.setdefault(order.version, order.body)
+            self.judge.sends(order.version, order.body)
         elif isinstance(order, SetEvacuation):
             self.judge.expected.pop(order.zone, None)
         self.after(5 * MS, lambda: self.give(self.machines[to], Submitted(number, order)))
@@ -339,21 +363,44 @@
         return to if not {(ip, to), (to, ip)} & self.cuts else None
 
     def done(self, machine: Machine, out: Completed) -> None:
-        _, answer = self.attempts.pop(out.number, ("", None))
-        if answer is not None:
-            answer(out.outcome)
-
-    def replace(self, ip: str, version: int, then: Callable[[bool], None]) -> None:
+        attempt = self.attempts.pop(out.number, None)
+        if attempt is None:
+            return
+        if isinstance(attempt.order, Replace):
+            self.judged(attempt, attempt.order, out.outcome)
+        if not attempt.given_up:
+            attempt.answer(out.outcome)
+
+    def judged(self, attempt: Attempt, order: Replace, outcome: Result[bytes, Fault]) -> None:
+        if isinstance(outcome, Success):
+            self.judge.acked(order.version, order.body, attempt.floor)
+        elif in_conflict(outcome):
+            self.judge.refused(order.version, order.body)
+
+    def replace(
+        self,
+        ip: str,
+        version: int,
+        then: Callable[[bool], None],
+        variant: str = "",
+        refused: Callable[[], None] | None = None,
+        patience: int = PATIENCE,
+    ) -> None:
+        """:param variant: of the body
+        :param refused: is called in place of `then` where another body has the number
+        """
         began, number = self.at / SECOND, len(self.history.writes)
         self.history.writes.append(Wrote(version, began))
 
         def answer(outcome: Result[bytes, Fault]) -> None:
             if isinstance(outcome, Success):
                 self.history.writes[number] = Wrote(version, began, self.at / SECOND)
-                self.judge.acked(version)
-            then(isinstance(outcome, Success))
+            if in_conflict(outcome) and refused is not None:
+                refused()
+            else:
+                then(isinstance(outcome, Success))
 
-        self.order(ip, Replace(version, b"r%d" % version + b"." * 50), answer)
+        self.order(ip, Replace(version, body_of(version, variant)), answer, patience)
 
     def evacuate(self, ip: str, zone: str, on: bool, then: Callable[[bool], None]) -> None:
         """One at a time for each zone."""
--- a/vetchusher/events.py
+++ b/vetchusher/events.py
@@ -27,6 +27,7 @@
     MEMBER_JOINED = 208
     ORDER_REFUSED = 209
     COPIES_HELD = 210
+    ORDERS_CONFLICT = 211  # one number, two bodies
     ROWS_SPOILT = 220  # on the own disk
     ROWS_MENDED = 221
     COPIES_DIFFER = 222
--- a/vetchusher/kinds.py
+++ b/vetchusher/kinds.py
@@ -26,6 +26,7 @@
     # an operator's order
     INVALID = "invalid"
     NOT_FOUND = "not_found"
+    CONFLICT = "conflict"  # another body holds the number that it names
     NOT_SETTLED = "not_settled"  # no primary, or no clear answer from it: it may or may not be in force
     # settings, files, fellows
     BAD_SETTINGS = "bad_settings"
@@ -49,6 +50,7 @@
     Kind.LEAVING: 503,
     Kind.INVALID: 400,
     Kind.NOT_FOUND: 404,
+    Kind.CONFLICT: 409,
     Kind.NOT_SETTLED: 503,
     Kind.BAD_SETTINGS: 500,
     Kind.BAD_STORE: 500,
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -38,11 +38,21 @@
 READ_PAUSE_S = 0.6  # between two whole reads of the list
 PASS_ON_S = 2.5  # for the primary's answer to an order passed on
 MOST_WATCHERS = 2048
+ASK_AGAIN_US = 300_000  # told to whoever asked while no primary answered
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
 LAST_VOTE_S = 0.5  # for others to take over when this one ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
 
 
+def passed_on(done: wire.OrderDone) -> Fault:
+    """What the primary said of an order.
+
+    Danger: a kind of a newer release may be no refusal: whoever asked is to come back.
+    """
+    kind = Kind(done.kind) if done.kind in set(Kind) else Kind.NOT_SETTLED
+    return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
+
+
 class ControlNode:
     def __init__(
         self,
@@ -234,13 +244,12 @@
             return await self.submit(order)
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
-            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", 300_000))
+            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
         answer = await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
         if answer is None or answer.WhichOneof("body") != "done":
-            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", 300_000))
+            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", ASK_AGAIN_US))
         if answer.done.kind:
-            kind = Kind(answer.done.kind) if answer.done.kind in set(Kind) else Kind.NOT_SETTLED
-            return Failure(Fault(kind, answer.done.text, 300_000))
+            return Failure(passed_on(answer.done))
         return Success(answer.done.body)
 
     async def submit(self, order: control.Order) -> Result[bytes, Fault]:
