--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -24,7 +24,7 @@
 from vetchusher.emulator.control.cases import CASES
 from vetchusher.emulator.control.mutations import PLANTED, planted
 from vetchusher.emulator.control.scenarios import Story
-from vetchusher.emulator.control.search import Trouble, drawn
+from vetchusher.emulator.control.search import Trouble, drawn, raced
 from vetchusher.emulator.explorer import explore as explored
 from vetchusher.emulator.explorer import wander
 
@@ -73,8 +73,8 @@
     wrong: list[str]
 
 
-def searched(seed: int) -> Run:
-    trouble = Trouble(drawn(seed))
+def searched(seed: int, races: bool = False) -> Run:
+    trouble = Trouble(raced(seed) if races else drawn(seed))
     wrong = trouble.run()
     world = trouble.world
     writes, reads = world.history.writes, world.history.reads
@@ -93,6 +93,7 @@
 
 
 KINDS = {
+    "one number": ("with two bodies", "another body", "was refused", "is the newest committed"),
     "lost": (
         "was acknowledged",
         "not as acknowledged",
@@ -109,7 +110,7 @@
     return next((name for name, words in KINDS.items() if any(w in text for w in words)), "another")
 
 
-def all_searched(seeds: list[int], jobs: int, minutes: float, notes: str) -> list[Run]:
+def all_searched(seeds: list[int], jobs: int, minutes: float, notes: str, races: bool) -> list[Run]:
     """What was noted, and the others as far as there is time; each is noted as it ends."""
     file = pathlib.Path(notes) if notes else None
     lines = file.read_text().splitlines() if file and file.exists() else []
@@ -120,7 +121,7 @@
         for part in chunked(left, 4 * jobs):
             if time.monotonic() >= ends:
                 break
-            for run in pool.map(searched, part):
+            for run in pool.map(partial(searched, races=races), part):
                 runs.append(run)
                 if file:
                     with file.open("ab") as out:
@@ -129,15 +130,21 @@
 
 
 def search(
-    seeds: str = "1..100", jobs: int = 2, minutes: float = 600.0, notes: str = "", keep: str = ""
+    seeds: str = "1..100",
+    jobs: int = 2,
+    minutes: float = 600.0,
+    notes: str = "",
+    keep: str = "",
+    races: bool = False,
 ) -> None:
     """Runs of random troubles, one a seed.
 
+    :param races: with eight operators more, who choose one another's numbers
     :param minutes: after which no more are begun
     :param notes: a file of runs that were done already, of this very program; it grows
     """
     began = time.monotonic()
-    runs = all_searched(numbers(seeds), jobs, minutes, notes)
+    runs = all_searched(numbers(seeds), jobs, minutes, notes, races)
     by_size: dict[tuple[int, int], list[Run]] = defaultdict(list)
     for run in runs:
         by_size[run.seeds, run.machines].append(run)
--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -12,7 +12,15 @@
 from testtools.matchers import Equals, MatchesRegex
 
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.emulator.control.call_history import Ordered, Read, Seen, Wrote, versions_wrong, zones_wrong
+from vetchusher.emulator.control.call_history import (
+    Ordered,
+    Read,
+    Seen,
+    Wrote,
+    bodies_wrong,
+    versions_wrong,
+    zones_wrong,
+)
 from vetchusher.emulator.control.process_faults import FAULTS
 from vetchusher.emulator.control.process_rig import CoreRig
 from vetchusher.emulator.system.local import claim_net
@@ -76,6 +84,24 @@
             self.assertThat(wrong[0], MatchesRegex(said))
 
 
+class BodiesTest(TestCase):
+    def test_one_number_has_one_body(self):
+        taken, other = Wrote(5, 1.0, 2.0, "a"), Wrote(5, 3.0, 4.0, "b")
+        refused = Wrote(5, 3.0, body="b", refused=4.0)
+        for calls, said in (
+            ([taken, refused, Wrote(5, 5.0, 6.0, "a")], []),
+            ([taken, other], ["4.000 s: r5 was acknowledged with two bodies"]),
+            ([taken, other, Wrote(6, 3.5)], []),  # it may have been in force before r5b was answered
+            ([taken, other, Wrote(6, 4.5, 5.0)], ["4.000 s: r5 was acknowledged with two bodies"]),
+            ([refused], ["4.000 s: r5b was refused: nobody had sent another body"]),
+            ([taken, Wrote(5, 0.0, 1.0, "b"), refused, Wrote(6, 0.5)], ["4.000 s: r5b was refused: it was"]),
+            ([taken, Wrote(5, 0.0, 3.5, "b"), refused, Wrote(6, 0.5)], []),  # after it was refused
+        ):
+            wrong = bodies_wrong(calls)
+            self.assertThat((calls, len(wrong)), Equals((calls, len(said))))
+            self.assertTrue(all(map(str.startswith, wrong, said)), wrong)
+
+
 class CommitsTest(TestCase):
     def test_commits_are_counted_while_the_process_runs_and_when_the_log_begins_anew(self):
         with tempfile.TemporaryDirectory() as place:
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -8,8 +8,10 @@
 from returns.result import Failure, Success
 from testtools.matchers import Equals
 
+from vetchusher import control
+from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.kinds import STATUS, Fault, Kind
-from vetchusher.node import operator_api
+from vetchusher.node import control_node, operator_api
 
 
 class Settler:
@@ -138,6 +140,29 @@
             )
             self.assertThat(headers.get("retry-after"), Equals(back))
 
+    def test_what_the_primary_said_comes_through(self):
+        """Kinds of errors survive the way between two core machines; an unknown one is no refusal."""
+        for kind in (Kind.CONFLICT, Kind.INVALID, Kind.NOT_FOUND):
+            said = control_node.passed_on(wire.OrderDone(kind=kind.value, text="why"))
+            self.assertThat(said, Equals(Fault(kind, "why")))
+        for name in (Kind.NOT_SETTLED.value, "of a later release"):
+            said = control_node.passed_on(wire.OrderDone(kind=name, text="why"))
+            self.assertThat((said.status, said.retry_after_us > 0), Equals((503, True)))
+
+    def test_an_evacuation_that_may_have_waited_is_not_taken(self):
+        async def submit(order):
+            return Success(order)
+
+        orders = (control.SetEvacuation("a", True), control.Replace(1, b""), control.Retrieve())
+        for stood_still in (False, True):
+            node = mock.Mock(submit=submit)
+            node.member.stood_still.return_value = stood_still
+            taken = [
+                isinstance(asyncio.run(control_node.ControlNode.decide(node, order, None)), Success)
+                for order in orders
+            ]
+            self.assertThat(taken, Equals([not stood_still, True, True]))
+
     def test_what_is_no_call_never_reaches_whoever_settles(self):
         settler = Settler()
         chunked = "Transfer-Encoding: chunked"
--- a/vetchusher/emulator/control/call_history.py
+++ b/vetchusher/emulator/control/call_history.py
@@ -14,11 +14,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Wrote:
-    """:param ended: of the call, where it was acknowledged; else endless"""
+    """:param ended: of the call, where it was acknowledged; else endless
+    :param body: tells bodies under one version apart
+    :param refused: when the call was refused, as another body has the version; else endless
+    """
 
     version: int
     began: float
     ended: float = math.inf
+    body: str = ""
+    refused: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,7 +68,11 @@
     seen: list[Seen] = field(default_factory=list)
 
     def wrong(self) -> list[str]:
-        return [*versions_wrong(self.writes, self.reads), *zones_wrong(self.orders, self.seen)]
+        return [
+            *versions_wrong(self.writes, self.reads),
+            *bodies_wrong(self.writes),
+            *zones_wrong(self.orders, self.seen),
+        ]
 
 
 def versions_wrong(writes: Sequence[Wrote], reads: Sequence[Read]) -> list[str]:
@@ -94,6 +103,42 @@
     return wrong
 
 
+def bodies_wrong(writes: Sequence[Wrote]) -> list[str]:
+    """One number, one body, one answer.
+
+    Two bodies may be acknowledged under one version if a higher one may have been in force before the later
+    of them was answered; one is refused only if another was sent, and never after it was acknowledged.
+    """
+    first_above = first_begun_above(writes)
+    by_version: dict[int, list[Wrote]] = {}
+    for write in writes:
+        by_version.setdefault(write.version, []).append(write)
+    wrong = []
+    for version, calls in by_version.items():
+        acknowledged = sorted((w for w in calls if w.ended < math.inf), key=lambda w: w.ended)
+        another = next((w for w in acknowledged if w.body != acknowledged[0].body), None)
+        if another is not None and first_above[version] >= another.ended:
+            wrong.append(f"{another.ended:.3f} s: r{version} was acknowledged with two bodies")
+        for refused in (w for w in calls if w.refused < math.inf):
+            where = f"{refused.refused:.3f} s: r{version}{refused.body} was refused"
+            if any(w.body == refused.body and w.ended < refused.began for w in acknowledged):
+                wrong.append(f"{where}: it was acknowledged before")
+            if not any(w.body != refused.body and w.began < refused.refused for w in calls):
+                wrong.append(f"{where}: nobody had sent another body")
+    return wrong
+
+
+def first_begun_above(writes: Sequence[Wrote]) -> dict[int, float]:
+    """When the first call with a higher version began, by version."""
+    began: dict[int, float] = {}
+    for write in writes:
+        began[write.version] = min(write.began, began.get(write.version, math.inf))
+    first, above = {}, math.inf
+    for version in sorted(began, reverse=True):
+        first[version], above = above, min(above, began[version])
+    return first
+
+
 def zones_wrong(orders: Iterable[Ordered], seen: Iterable[Seen]) -> list[str]:
     """Zones that are not as the last order, or one on its way at the same time, had them."""
     by_zone: dict[str, list[Ordered]] = {}
--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -25,6 +25,7 @@
 from vetchusher.emulator.cuts import Cuts
 from vetchusher.emulator.system.local import CONTROL, INTERNAL, REGIONS, Apiary, Machine, first_configuration
 from vetchusher.emulator.wal import Commits
+from vetchusher.kinds import STATUS, Kind
 from vetchusher.node.folders import kept_in
 
 from .call_history import History, Ordered, Read, Seen, Wrote
@@ -32,10 +33,13 @@
 Mend = Callable[[], Awaitable[None]]
 
 ZONES = tuple(REGIONS)
+VARIANTS = ("", "a", "b")  # of bodies under one version
+RACE_TRIES = 4  # of each operator in a race, until there is a clear answer
 PATIENCE_S = 1.0  # an operator's, without an answer; then it goes elsewhere
 HASTE_S = 0.3  # of whoever measures for how long nobody acknowledges, and his pause
 HASTE_PACE_S = 0.03
 PACE_S = 0.15  # between two calls of an operator
+CONFLICT = STATUS[Kind.CONFLICT]
 DEAD_S = 15.0  # after which an order without a clear answer is in nobody's memory: longer than any door or
 # process waits, and than a process is stopped
 CATCH_UP_S = 4.0  # a machine counts as lost for so long after its return
@@ -44,10 +48,13 @@
 REGAIN_S = 180.0  # danger: where nothing is acknowledged for so long, the run ends and says so
 
 
-def body(version: int) -> bytes:
-    """The one configuration that a version stands for."""
+def body(version: int, variant: str = "") -> bytes:
+    """The configuration that a version stands for.
+
+    :param variant: tells the configurations of operators apart who choose one version
+    """
     tree = first_configuration(version)
-    tree["routes"][0]["name"] = f"only-r{version}"
+    tree["routes"][0]["name"] = f"only-r{version}{variant}"
     return json.dumps(tree).encode()
 
 
@@ -98,6 +105,7 @@
     calm_ms: list[float] = field(default_factory=list)
     calm_bytes: float = 0.0
     calm_syncs: float = 0.0
+    bodies: dict[int, bytes] = field(default_factory=dict)  # that were read back
     struck: int = 0  # kills and wipes of one process each
 
 
@@ -173,8 +181,10 @@
 
     async def any_call(self) -> None:
         draw, machine = self.rng.random(), self.rng.choice(self.apiary.core)
-        if draw < 0.5:
+        if draw < 0.4:
             await self.write(machine, self.take_version())
+        elif draw < 0.5:
+            await self.race(self.take_version())
         elif draw < 0.6 and self.highest:
             await self.write(machine, self.rng.randint(1, self.highest), again=True)
         elif draw < 0.65:
@@ -212,20 +222,42 @@
             self.found.answered.append(Answered(machine.name, status, ms, back))
         return status, told
 
+    async def race(self, version: int) -> None:
+        """Two operators choose one version; each sends its body until there is a clear answer, and again."""
+        await asyncio.gather(*(self.take_part(version, variant) for variant in VARIANTS[1:]))
+
+    async def take_part(self, version: int, variant: str) -> None:
+        answers = 0
+        for _ in range(RACE_TRIES):
+            status = await self.send(self.rng.choice(self.apiary.core), version, variant)
+            answers += status == 200
+            if status == CONFLICT or answers > 1:
+                return
+
+    async def send(
+        self, machine: Machine, version: int, variant: str = "", patience_s: float = PATIENCE_S
+    ) -> int:
+        """The status of the answer; the call is on record."""
+        writes, began, sent = self.found.history.writes, time.monotonic(), body(version, variant)
+        place = len(writes)
+        writes.append(Wrote(version, began, body=variant))  # whoever is called off here may have been heard
+        status, _ = await self.call(machine, "POST", "/configuration/replace", sent, patience_s)
+        ended = time.monotonic()
+        if status == 200:
+            writes[place] = Wrote(version, began, ended, variant)
+        elif status == CONFLICT:
+            writes[place] = Wrote(version, began, body=variant, refused=ended)
+        elif 300 <= status < 500:
+            self.found.wrong.append(f"{machine.name}: r{version} is proper and was refused: {status}")
+        return status
+
     async def write(
         self, machine: Machine, version: int, again: bool = False, patience_s: float = PATIENCE_S
     ) -> bool:
         """:param again: it was sent before, so it tells nothing of who can acknowledge"""
-        writes, began, sent = self.found.history.writes, time.monotonic(), body(version)
-        place = len(writes)
-        writes.append(Wrote(version, began))  # whoever is called off here may have been heard
-        status, _ = await self.call(machine, "POST", "/configuration/replace", sent, patience_s)
+        began = time.monotonic()
+        good = await self.send(machine, version, patience_s=patience_s) == 200
         ended = time.monotonic()
-        good = status == 200
-        if good:
-            writes[place] = Wrote(version, began, ended)
-        if 300 <= status < 500:
-            self.found.wrong.append(f"{machine.name}: r{version} is proper and was refused: {status}")
         if good and not again:
             self.highest = max(self.highest, version)
             self.last = max(self.last, (began, ended))
@@ -257,8 +289,10 @@
         if status != 200:
             return -1
         version = int(json.loads(told)["version"].removeprefix("r"))
-        if told != body(version):
+        if told not in (body(version, variant) for variant in VARIANTS):
             self.found.wrong.append(f"{machine.name}: r{version} is not as it was sent")
+        if self.found.bodies.setdefault(version, told) != told:
+            self.found.wrong.append(f"{machine.name}: r{version} was read back with another body before")
         self.found.history.reads.append(Read(version, began, ended, machine.name))
         return version
 
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -405,11 +405,14 @@
         :param refused: is called in place of `then` where another body has the number
         """
         began, number = self.at / SECOND, len(self.history.writes)
-        self.history.writes.append(Wrote(version, began))
+        self.history.writes.append(Wrote(version, began, body=variant))
 
         def answer(outcome: Result[bytes, Fault]) -> None:
             if isinstance(outcome, Success):
-                self.history.writes[number] = Wrote(version, began, self.at / SECOND)
+                self.history.writes[number] = Wrote(version, began, self.at / SECOND, variant)
+            elif in_conflict(outcome):
+                refused_at = self.at / SECOND
+                self.history.writes[number] = Wrote(version, began, body=variant, refused=refused_at)
             if in_conflict(outcome) and refused is not None:
                 refused()
             else:
