--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -14,7 +14,7 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from functools import partial
 
 from vetchusher.control import Timing
@@ -22,6 +22,7 @@
 from vetchusher.emulator.fleet_world import MS, SECOND
 
 from .closure import Moment, unbearable
+from .racers import Racer
 from .world import Scene, World
 
 CATCH_UP = 4 * SECOND
@@ -30,6 +31,7 @@
 WATCH = 50 * MS  # between two looks at whether every further loss would be borne
 CALM = 5 * SECOND  # of a majority, after which an order is acknowledged within as long again
 NEVER = 1 << 60
+RACERS = 8  # orders under way at once
 
 
 @dataclass(slots=True)
@@ -39,6 +41,7 @@
     :param replacing: part of the losses of a careful round after which another machine takes the place
     :param every: mean time between two faults of a round
     :param gap: longest pause of an operator between two orders
+    :param racers: operators more, who choose one another's numbers
     """
 
     scene: Scene = field(default_factory=Scene)
@@ -50,6 +53,7 @@
     replacing: float = 0.3
     every: int = 500 * MS
     gap: int = 300 * MS
+    racers: int = 0
 
     @property
     def catch_up(self) -> int:
@@ -88,6 +92,11 @@
     )
 
 
+def raced(seed: int) -> Search:
+    """The same, longer, with eight operators more, in haste."""
+    return replace(drawn(seed), racers=RACERS, rounds=5)
+
+
 class Trouble:
     """It owns which machines are lost, and until when."""
 
@@ -112,6 +121,8 @@
             world.after(self.rng.randrange(300 * MS), partial(world.start, ip, first=True))
         for number, zone in enumerate(("north", "south")):
             self.operate(zone, number)
+        for number in range(self.search.racers):
+            world.after(SECOND, Racer(world, number, self.next_version, self.anybody).begin)
         self.passes(SECOND)
         for ip in world.machines:
             world.after(self.rng.randrange(4 * SECOND), partial(world.start, ip))
@@ -131,6 +142,11 @@
 
     # -- operators -----------------------------------------------------------------------------
 
+    def next_version(self, steps: int) -> int:
+        """Above all that were sent by as many steps; 0: the newest that was."""
+        self.last_version += steps
+        return self.last_version
+
     def operate(self, zone: str, number: int) -> None:
         """One operator: a new order whenever the last one was acknowledged, sent again until it is."""
         world, rng = self.world, self.rng
@@ -433,7 +449,8 @@
 
         def once() -> None:
             self.last_version += 1
-            world.replace(self.rng.choice(well), self.last_version, answered)
+            refused = partial(done.append, True)  # a racer had the number first: that is an answer
+            world.replace(self.rng.choice(well), self.last_version, answered, refused=refused)
 
         once()
         while not done and world.at < begun + 2 * CALM and not world.judge.wrong:
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -41,17 +41,37 @@
 from vetchusher.kinds import Fault, Kind
 
 from .call_history import History, Read, Wrote
-from .judge import Judge
+from .judge import Judge, committed_version, in_conflict
 
 TICK = 50 * MS
 GRACE = 5 * SECOND  # for a machine that ends in order
 SEEDS = 3  # machines that a settings file names
 SEAT_WAIT = 500 * MS  # as `node.control_node.LAST_VOTE_S`
 MOST_INBOX = 400
+PATIENCE = 4 * SECOND  # of an operator, for one answer
 Answer = Callable[[Result[bytes, Fault]], None]
 SILENT: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "no answer"))
 
 
+@dataclass(slots=True)
+class Attempt:
+    """An order that was sent and is not answered yet.
+
+    :param floor: the version that the machine asked had committed as the order came; None: none yet
+    :param given_up: whoever sent it waits no longer; the judge hears the answer all the same
+    """
+
+    order: Order
+    answer: Answer
+    floor: int | None = None
+    given_up: bool = False
+
+
+def body_of(version: int, variant: str = "") -> bytes:
+    """:param variant: tells bodies under one version apart"""
+    return b"r%d" % version + variant.encode() + b"." * 50
+
+
 @dataclass(slots=True)
 class Scene:
     """One run.
@@ -82,6 +102,7 @@
 class Machine:
     """:param disk: what is synced on it
     :param saving: on its way there, with the life it belongs to
+    :param door: numbers of operators' orders that came while it was frozen
     :param told: what it tells readers: stamp and version of what was committed, here or where it asked
     """
 
@@ -99,6 +120,7 @@
     gone: bool = False  # for good: it never starts again
     told: tuple[Point, int] = (START, 0)
     inbox: list[Input] = field(default_factory=list)
+    door: list[int] = field(default_factory=list)
 
     def now(self, at: int) -> int:
         return self.offset + int(at * self.rate)
@@ -117,7 +139,7 @@
         self.judge = Judge()
         self.cuts: set[tuple[str, str]] = set()  # from, to
         self.no_writes: set[str] = set()  # letters with a state are lost on their way there
-        self.attempts: dict[int, tuple[str, Answer]] = {}
+        self.attempts: dict[int, Attempt] = {}
         self.history = History()  # of configurations; zones are the judge's
         self.events: Counter[str] = Counter()
         self.log: list[tuple[int, str, LogEvent]] = []
@@ -203,6 +225,8 @@
             if len(machine.inbox) < MOST_INBOX:
                 machine.inbox.append(event)
             return
+        if isinstance(event, Submitted) and event.number in self.attempts:
+            self.attempts[event.number].floor = committed_version(machine.member)
         for out in machine.member.handle(machine.now(self.at), event):
             self.carry(machine, out)
         self.look()
@@ -251,6 +275,7 @@
             machine.disk = machine.saving.kept
         machine.member, machine.saving, machine.frozen = None, None, False
         machine.inbox.clear()
+        machine.door.clear()
 
     def wipe(self, ip: str) -> None:
         self.kill(ip)
@@ -296,6 +321,9 @@
     def thaw(self, ip: str) -> None:
         machine = self.machines[ip]
         machine.frozen = False
+        door, machine.door = machine.door, []
+        for number in door:
+            self.enter(machine, number)
         inbox, machine.inbox = machine.inbox, []
         for event in inbox:
             self.give(machine, event)
@@ -352,26 +380,37 @@
 
     # -- orders --------------------------------------------------------------------------------
 
-    def order(self, ip: str, order: Order, answer: Answer, patience: int = 4 * SECOND) -> None:
+    def order(self, ip: str, order: Order, answer: Answer, patience: int = PATIENCE) -> None:
         """To any machine; one that is not the primary passes it on to the one that it takes for it."""
         self.serial += 1
-        number = self.serial
-        to = self.passed_on(ip)
-
-        def give_up() -> None:
-            if self.attempts.pop(number, None):
-                answer(SILENT)
-
-        self.after(patience, give_up)
-        if to is None:
-            self.after(10 * MS, lambda: answer(SILENT))
-            return
-        self.attempts[number] = (to, answer)
+        number, machine = self.serial, self.machines[ip]
+        self.attempts[number] = Attempt(order, answer)
+        self.after(patience, lambda: self.unanswered(number))
         if isinstance(order, Replace):
-            self.judge.sent.setdefault(order.version, order.body)
+            self.judge.sends(order.version, order.body)
         elif isinstance(order, SetEvacuation):
             self.judge.expected.pop(order.zone, None)
-        self.after(5 * MS, lambda: self.give(self.machines[to], Submitted(number, order)))
+        if not machine.frozen:
+            self.enter(machine, number)
+        elif len(machine.door) < MOST_INBOX:
+            machine.door.append(number)
+
+    def enter(self, machine: Machine, number: int) -> None:
+        """An order is read by the machine that it was sent to."""
+        order, to = self.attempts[number].order, self.passed_on(machine.ip)
+        member = machine.member
+        waited = member is not None and member.stood_still(machine.now(self.at))
+        if to is None or (waited and isinstance(order, SetEvacuation)):
+            self.after(10 * MS, lambda: self.unanswered(number))
+        else:
+            self.after(5 * MS, lambda: self.give(self.machines[to], Submitted(number, order)))
+
+    def unanswered(self, number: int) -> None:
+        """Whoever sent it waits no longer."""
+        attempt = self.attempts.get(number)
+        if attempt is not None and not attempt.given_up:
+            attempt.given_up = True
+            attempt.answer(SILENT)
 
     def passed_on(self, ip: str) -> str | None:
         member = self.machines[ip].member
@@ -383,31 +422,59 @@
         return to if not {(ip, to), (to, ip)} & self.cuts else None
 
     def done(self, machine: Machine, out: Completed) -> None:
-        _, answer = self.attempts.pop(out.number, ("", None))
-        if answer is not None:
-            answer(out.outcome)
-
-    def replace(self, ip: str, version: int, then: Callable[[bool], None]) -> None:
+        attempt = self.attempts.pop(out.number, None)
+        if attempt is None:
+            return
+        if isinstance(attempt.order, Replace):
+            self.judged(attempt, attempt.order, out.outcome)
+        if not attempt.given_up:
+            attempt.answer(out.outcome)
+
+    def judged(self, attempt: Attempt, order: Replace, outcome: Result[bytes, Fault]) -> None:
+        if isinstance(outcome, Success):
+            self.judge.acked(order.version, order.body, attempt.floor)
+        elif in_conflict(outcome):
+            self.judge.refused(order.version, order.body)
+
+    def replace(
+        self,
+        ip: str,
+        version: int,
+        then: Callable[[bool], None],
+        variant: str = "",
+        refused: Callable[[], None] | None = None,
+        patience: int = PATIENCE,
+    ) -> None:
+        """:param variant: of the body
+        :param refused: is called in place of `then` where another body has the number
+        """
         began, number = self.at / SECOND, len(self.history.writes)
-        self.history.writes.append(Wrote(version, began))
+        self.history.writes.append(Wrote(version, began, body=variant))
 
         def answer(outcome: Result[bytes, Fault]) -> None:
             if isinstance(outcome, Success):
-                self.history.writes[number] = Wrote(version, began, self.at / SECOND)
-                self.judge.acked(version)
-            then(isinstance(outcome, Success))
+                self.history.writes[number] = Wrote(version, began, self.at / SECOND, variant)
+            elif in_conflict(outcome):
+                refused_at = self.at / SECOND
+                self.history.writes[number] = Wrote(version, began, body=variant, refused=refused_at)
+            if in_conflict(outcome) and refused is not None:
+                refused()
+            else:
+                then(isinstance(outcome, Success))
 
-        self.order(ip, Replace(version, b"r%d" % version + b"." * 50), answer)
+        self.order(ip, Replace(version, body_of(version, variant)), answer, patience)
 
-    def evacuate(self, ip: str, zone: str, on: bool, then: Callable[[bool], None]) -> None:
-        """One at a time for each zone."""
+    def evacuate(
+        self, ip: str, zone: str, on: bool, then: Callable[[bool], None], patience: int = PATIENCE
+    ) -> None:
+        """One at a time for each zone, sent again until it is answered."""
 
         def answer(outcome: Result[bytes, Fault]) -> None:
             if isinstance(outcome, Success):
                 self.judge.expected[zone] = on
             then(isinstance(outcome, Success))
 
-        self.order(ip, SetEvacuation(zone, on), answer)
+        self.order(ip, SetEvacuation(zone, on), answer, patience)
 
     def retrieve(self, ip: str, then: Callable[[int | None], None]) -> None:
         """`then` is told the version that was read, None without an answer."""
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -41,11 +41,21 @@
 NAMED_US = 1_000_000  # since ingresses were looked up: the same of the directory's answers
 LATE_SEND_US = 500_000  # since it was decided: what was not sent by then is not sent at all
 MOST_WATCHERS = 2048
+ASK_AGAIN_US = 300_000  # told to whoever asked while no primary answered
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
 LAST_VOTE_S = 0.5  # for a learner, if there is one, to take the seat of a machine that ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
 
 
+def passed_on(done: wire.OrderDone) -> Fault:
+    """What the primary said of an order.
+
+    Danger: a kind of a newer release may be no refusal: whoever asked is to come back.
+    """
+    kind = Kind(done.kind) if done.kind in set(Kind) else Kind.NOT_SETTLED
+    return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
+
+
 class ControlNode:
     def __init__(
         self,
@@ -254,7 +264,14 @@
         self.note(LogEvent(Event.ORDER_REFUSED, told))
 
     async def decide(self, order: control.Order, passed: wire.OrderAsked) -> operator_api.Backed:
-        """Settle it here where this is the primary; else pass it on once."""
+        """Settle it here where this is the primary; else pass it on once.
+
+        Danger: evacuations have no version.  One that waited at the door while this process stood still may
+        be older than its end, which others have acknowledged since.
+        """
+        if isinstance(order, control.SetEvacuation) and self.member.stood_still(self.now()):
+            waited = Failure(Fault(Kind.NOT_SETTLED, "it may have waited here", ASK_AGAIN_US))
+            return operator_api.Backed(waited, lambda: True)
         if self.member.holds(self.now()):
             return await self.decide_here(order)
         passed_at = self.now()
@@ -269,13 +286,12 @@
     async def pass_on(self, passed: wire.OrderAsked) -> Result[bytes, Fault]:
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
-            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", 300_000))
+            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
         answer = await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
         if answer is None or answer.WhichOneof("body") != "done":
-            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", 300_000))
+            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", ASK_AGAIN_US))
         if answer.done.kind:
-            kind = Kind(answer.done.kind) if answer.done.kind in set(Kind) else Kind.NOT_SETTLED
-            return Failure(Fault(kind, answer.done.text, 300_000))
+            return Failure(passed_on(answer.done))
         return Success(answer.done.body)
 
     async def submit(self, order: control.Order) -> Result[bytes, Fault]:
