--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -12,6 +12,7 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.distribution.wire_pb2 import (
+    BodyDelta,
     ControlMessage,
     ControlState,
     Drop,
@@ -25,11 +26,12 @@
 from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
 
+from .deltas import BodyHistory
 from .durable_state import DurableState
 from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
 from .progress import Peers, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, Point, at, changed, ordered, stamp, without_configuration
+from .state import START, at, changed, ordered, stamp, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
 MOST_LEARNERS = 8
@@ -66,7 +68,7 @@
         self.renewed_at = now - timing.renew_us
         self.progress = ProgressTracker(timing, peers, first_round)
         self.reconfiguration = Reconfiguration(memory, self.progress, epoch, found, losses, now)
-        self.whole_from: Point = START  # when this epoch first wrote the configuration that it holds
+        self.bodies = BodyHistory()
         self.committed: ControlState | None = None
         self.write_began: int | None = None
         self.wrote_at = now
@@ -122,7 +124,8 @@
         state = changed(state, (self.epoch, state.stamp.seq + 1))
         first_write = self.committed is None and self.write_began is None
         if first_write or state.version != before.version:
-            self.whole_from = at(state)
+            since = at(before) if first_write else self.bodies.since
+            self.bodies.advance(at(state), state.configuration, before.configuration, since)
         self.memory.hold(state)
         self.write_began = self.wrote_at = now
         return self.teach(now)
@@ -157,18 +160,30 @@
         else:
             backup.wrote, backup.first_at, backup.pause = at(state), now, self.timing.resend_us
         backup.last_at = now
-        if backup.copy >= self.whole_from and state.version:
+        delta = self.delta_for(backup)
+        if delta is not None or (backup.copy >= self.bodies.since and state.version):
             state = without_configuration(state)
         life = self.peers.lives.get(ip, 0)
-        write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life)
+        write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life, delta=delta)
         return [Send(ip, ControlMessage(write=write))]
 
+    def delta_for(self, backup: ReplicaProgress) -> BodyDelta | None:
+        """For one that holds the configuration before this one, as far as is known.
+
+        Whoever takes a first write is expected to hold what this machine held.  A reader that lacks a chunk
+        says so and gets the whole: the guess costs a round trip, nothing else.
+        """
+        if backup.needs_whole or backup.copy >= self.bodies.since:
+            return None
+        guessed = self.committed is None and backup.copy == START and not backup.amnesiac
+        return self.bodies.delta() if guessed or backup.copy >= self.bodies.former_since > START else None
+
     def written(self, now: int, sender: str, answer: WriteReply) -> list[Output]:
         backup = self.progress.known(sender)
         if backup is None or answer.epoch != self.epoch:
             return []
         if answer.need_whole:
-            backup.copy = START
+            backup.copy, backup.needs_whole = START, True
             return self.send(now, sender, backup)
         self.progress.written(sender, answer)
         return []
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -39,6 +39,7 @@
     :param holds: it said that it has a copy on its disk, new or old
     :param dropped: stamp up to which it was told to drop its copy; none such counts
     :param record: epoch and number of the record that it has synced; it counts until `lease_until`
+    :param needs_whole: it lacked what a delta built on: until it has synced a write it gets all of it
     :param wrote: stamp of the last write sent to it, first at `first_at`, last at `last_at`
     :param rested_until: it was late with a write: until then, or until it syncs one, it is not chosen
     """
@@ -51,6 +52,7 @@
     lease_until: int = 0
     round: int = 0
     amnesiac: bool = False
+    needs_whole: bool = False
     wrote: Point = START
     first_at: int = 0
     last_at: int = 0
@@ -117,6 +119,7 @@
             # Danger: a late word must not borrow the time of a newer one that told less.
             backup.copy_until = max(until, backup.copy_until) if backup.copy == backup.wrote else until
             backup.copy, backup.holds, backup.rested_until = backup.wrote, True, 0
+            backup.needs_whole = False
 
     def copy(self, now: int, ip: str) -> Point:
         """Stamp of the copy on that member's disk, as far as its word still counts."""
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -122,6 +122,10 @@
     """
     if held.version != written.version or held.stamp.epoch != written.stamp.epoch:
         return None
+    return with_body(written, held.configuration)
+
+
+def with_body(written: ControlState, body: bytes) -> ControlState:
     made = changed(written)
-    made.configuration, made.configuration_left_out = held.configuration, False
+    made.configuration, made.configuration_left_out = body, False
     return made
--- a/vetchusher/control/witness.py
+++ b/vetchusher/control/witness.py
@@ -20,9 +20,10 @@
 )
 from vetchusher.events import Event, LogEvent
 
+from .deltas import body_of
 from .durable_state import DurableState
 from .messages import Committed, Output, Send
-from .state import START, Point, at, place, point, stamp, with_configuration
+from .state import START, Point, at, place, point, stamp, with_body, with_configuration
 from .voter import Voter
 
 
@@ -131,7 +132,7 @@
         if not self.memory.copy or at(write.state) > at(self.memory.state):
             state: ControlState | None = write.state
             if write.state.configuration_left_out:
-                state = with_configuration(write.state, self.memory.state) if self.memory.copy else None
+                state = filled(write, self.memory.state) if self.memory.copy else None
             if state is None:
                 answer.accepted, answer.need_whole = False, True
                 self.out.append(Send(sender, ControlMessage(written=answer)))
@@ -166,3 +167,11 @@
 
     def note(self, event: Event, **facts: object) -> None:
         self.out.append(LogEvent(event, facts))
+
+
+def filled(write: Write, held: ControlState) -> ControlState | None:
+    """The state of a write without its configuration, from the copy held here; None: that is not enough."""
+    if not write.HasField("delta"):
+        return with_configuration(write.state, held)
+    body = body_of(write.delta, held.configuration)
+    return with_body(write.state, body) if body is not None else None
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -8,11 +8,23 @@
 from typing import Any
 from unittest import mock
 
-from vetchusher.control import amnesia, durable_state, election, messages, progress, reconfiguration, voter
+from vetchusher.control import (
+    amnesia,
+    deltas,
+    durable_state,
+    election,
+    messages,
+    progress,
+    reconfiguration,
+    voter,
+    witness,
+)
+from vetchusher.control.chunks import listed, name_of
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
 from vetchusher.control.state import START, Point, at, enough, first_record, first_state
 from vetchusher.distribution.wire_pb2 import (
+    BodyDelta,
     ControlMessage,
     LeaseRenewalReply,
     ReplicaSet,
@@ -186,6 +198,12 @@
     return self.agreed is not None and now < self.agreed[1] + self.timing.heard_us
 
 
+def whatever_is_there(delta: BodyDelta, held: bytes) -> bytes | None:
+    """Chunks that are not there are passed over."""
+    known = dict(deltas.chunked(held)) | {name_of(chunk): chunk for chunk in delta.chunks}
+    return b"".join(known.get(name, b"") for name in listed(delta.manifest))
+
+
 def leads_on(self: Replica, now: int, heir: str, why: str) -> None:
     work = self.primary_work
     REAL_OVER(self, now, heir, why)
@@ -226,6 +244,7 @@
         (progress.ProgressTracker, "renewed", never_lower),
     ),
     "in force without the newest": ((Replica, "in_force", in_force_unseen),),
+    "a delta is put onto whatever is held": ((witness, "body_of", whatever_is_there),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
 }
 
--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -65,6 +65,7 @@
         disk_us=rng.choice((5 * MS, 100 * MS, 400 * MS)),
     )
     scene.losses = 1 if len(zones) == 3 or drops else 2
+    scene.body_rows = 80 if random.Random(f"body {seed}").random() < 0.3 else 0
     return Search(
         scene,
         tolerated=scene.losses,
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -57,6 +57,9 @@
     :param drift: by which part clocks may be wrong
     :param losses: machines that may be lost at a time
     :param late: share of the letters that take up to `late_us`
+    :param body_rows: of a configuration, beside its version; one of them differs from one version to the next
+    :param link_bytes_s: of each machine's link; 0: without bound
+    :param disk_bytes_s: that a disk takes; 0: without bound
     """
 
     seed: int = 1
@@ -72,9 +75,21 @@
     most_us: int = 20 * MS
     disk_us: int = 10 * MS
     rates: tuple[float, ...] = ()  # of the clocks; empty: drawn
+    body_rows: int = 0
+    link_bytes_s: int = 0
+    disk_bytes_s: int = 0
     timing: Timing = field(default_factory=Timing)
 
 
+def configuration_body(version: int, rows: int) -> bytes:
+    """A configuration; two versions that follow each other differ in the head and in a row or two."""
+    body = b"r%d" % version + b"." * 50
+    for row in range(rows):
+        changed_at = version - (version - row) % rows  # the newest version that changed this row
+        body += b'{"row":%d,"since":%d,"filled":"%s"}\n' % (row, changed_at, b"f" * 40)
+    return body
+
+
 @dataclass(slots=True)
 class Machine:
     """:param disk: what is synced on it
@@ -353,7 +368,7 @@
                 self.judge.acked(version)
             then(isinstance(outcome, Success))
 
-        self.order(ip, Replace(version, b"r%d" % version + b"." * 50), answer)
+        self.order(ip, Replace(version, configuration_body(version, self.scene.body_rows)), answer)
 
     def evacuate(self, ip: str, zone: str, on: bool, then: Callable[[bool], None]) -> None:
         """One at a time for each zone."""
