--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -3,7 +3,9 @@
 import pathlib
 import random
 import shutil
+import sqlite3
 import tempfile
+import zlib
 
 from testtools import TestCase
 
@@ -13,7 +15,7 @@
 from vetchusher.discovery.reader import Listed, Reader, read_page, read_row
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore, whole
-from vetchusher.distribution.source import Source, message_of, sorted_out
+from vetchusher.distribution.source import NEVER, Source, message_of, sorted_out
 from vetchusher.distribution.subscriber import BEAT_US, FRESH_US, TOUCH_US, SendBeat, SendPull, Subscriber
 
 S = 1_000_000
@@ -218,9 +220,15 @@
         )
         self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
         # A row that was changed behind our back is not taken, a file that is none is put aside.
-        opened.base.execute("UPDATE told SET news = X'00'")
-        opened.base.commit()
-        self.assertEqual([], opened.load({"control": Source("control")}).unwrap())
+        for change in (
+            "UPDATE row SET value = X'00' WHERE key = 'version'",
+            "DELETE FROM row WHERE key = 'limits'",
+        ):
+            opened.base.execute(change)
+            opened.base.commit()
+            self.assertEqual([], opened.load({"control": Source("control")}).unwrap())
+            opened.save(whole(author)).unwrap()
+            self.assertEqual(["control"], opened.load({"control": Source("control")}).unwrap())
         opened.close()
         pathlib.Path(folder, "told.sqlite3").write_bytes(b"torn" * 4096)
         self.assertEqual(
@@ -228,16 +236,90 @@
         )
 
     def test_a_file_of_an_earlier_release_is_read_under_the_names_of_today(self):
+        """Form 1: a source in one piece with a checksum; one that is torn is left out."""
         folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, folder)
-        author = Source("comb")
-        author.publish((3, 7), {"version": b'"r4"'})
-        store = SnapshotStore.open(folder).unwrap()
+        base = sqlite3.connect(pathlib.Path(folder, "told.sqlite3"))
+        base.execute("PRAGMA journal_mode=wal")
+        base.execute("CREATE TABLE told (source TEXT PRIMARY KEY, sum INTEGER, news BLOB)")
+        base.execute("PRAGMA user_version=1")
+        authors = {name: Source(name) for name in ("comb", "discovery", "entrance")}
+        for name, author in authors.items():
+            author.publish((3, 7), {"version": b'"r4"', "of": name.encode()})
+            raw = whole(author).SerializeToString()
+            torn = name == "entrance"
+            base.execute("INSERT INTO told VALUES (?, ?, ?)", (name, zlib.crc32(raw) + torn, raw))
+        base.commit()
+        base.close()
+        for _ in range(2):
+            again = {name: Source(name) for name in ("control", "discovery", "directory")}
+            store = SnapshotStore.open(folder).unwrap()
+            self.assertEqual(["control", "discovery"], sorted(store.load(again).unwrap()))
+            for now, then in (("control", "comb"), ("discovery", "discovery")):
+                self.assertEqual(
+                    (authors[then].stamp, authors[then].values()), (again[now].stamp, again[now].values())
+                )
+            store.close()
+
+    def test_what_changed_is_written_and_all_of_it_comes_back(self):
+        folder, rng = tempfile.mkdtemp(), random.Random(1)
+        self.addCleanup(shutil.rmtree, folder)
+        author, store, rows = Source("control"), SnapshotStore.open(folder).unwrap(), {}
+        for seq in range(1, 200):
+            for _ in range(rng.randrange(4)):
+                rows[f"route/{rng.randrange(30)}"] = b"%d" % rng.randrange(3)
+            for key in rng.sample(sorted(rows), min(len(rows), rng.randrange(3))):
+                del rows[key]
+            author.publish((1, seq), rows)
+            if rng.random() < 0.7:  # some changes go together
+                held = store.saved.get("control")
+                store.save(author.since(held.stamp if held else NEVER)).unwrap()
+            if rng.random() < 0.1:
+                store.close()
+                store = SnapshotStore.open(folder).unwrap()
+        author.publish((1, 200), rows | {"route/last": b""})
+        store.save(author.since(store.saved["control"].stamp)).unwrap()
+        again = Source("control")
+        store.load({"control": again}).unwrap()
+        self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
+        left_out = author.since(author.stamp[:1] + (author.stamp[1] - 1,))
+        left_out.base.seq += 5
+        self.assertIn("leave something out", store.save(left_out).failure().text)
+
+    def test_the_file_has_a_bound_and_keeps_what_it_held_when_more_comes(self):
+        folder = tempfile.mkdtemp()
+        self.addCleanup(shutil.rmtree, folder)
+        store, author = SnapshotStore.open(folder, disk_mb=16).unwrap(), Source("control")
+        rows = {f"route/{n}": b"x" * 200 for n in range(4000)}
+        author.publish((1, 1), rows)
         store.save(whole(author)).unwrap()
+        for seq in range(2, 300):
+            rows[f"route/{seq}"] = b"y%d" % seq * 40
+            author.publish((1, seq), rows)
+            store.save(author.since((1, seq - 1))).unwrap()
+        sizes = {p.name: p.stat().st_size for p in pathlib.Path(folder).iterdir()}
+        self.assertLess(sum(sizes.values()), 4_500_000, sizes)  # 0.8 MB of rows, a log of 2 MB
+        much = Source("control")
+        much.publish((1, 300), {f"route/{n}": b"z" * 1000 for n in range(4000)})
+        self.assertIn("full", store.save(whole(much)).failure().text)
+        author.publish((1, 300), rows | {"route/0": b"after"})
+        store.save(author.since((1, 299))).unwrap()
+        store.close()
         again = Source("control")
-        self.assertEqual(["control"], store.load({"control": again}).unwrap())
+        SnapshotStore.open(folder, disk_mb=16).unwrap().load({"control": again}).unwrap()
         self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
 
+    def test_pages_of_what_is_gone_are_given_back(self):
+        folder = tempfile.mkdtemp()
+        self.addCleanup(shutil.rmtree, folder)
+        store, author = SnapshotStore.open(folder).unwrap(), Source("control")
+        author.publish((1, 1), {f"route/{n}": b"x" * 1000 for n in range(4000)})
+        store.save(whole(author)).unwrap()
+        author.publish((1, 2), {"route/1": b"x"})
+        store.save(author.since((1, 1))).unwrap()
+        store.close()
+        self.assertLess(pathlib.Path(folder, "told.sqlite3").stat().st_size, 500_000)
+
 
 class Neighbours(TestCase):
     def test_each_knows_a_small_set_and_one_that_goes_moves_only_the_sets_it_was_in(self):
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -20,7 +20,7 @@
 from vetchusher.control import PersistentState
 from vetchusher.control.store import Copy, Scanned
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import Source
+from vetchusher.distribution.source import NEVER, Source
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
@@ -105,7 +105,7 @@
 
 
 class DrawnSnapshotStore:
-    """The place of `waggle.shelf.SnapshotStore`."""
+    """The place of `distribution.snapshot.SnapshotStore`."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -115,7 +115,13 @@
         return Success([name for name, news in told.items() if sources[name].take(news)])
 
     def save(self, news: wire.SourceNews) -> Result[None, Fault]:
-        self.machine.shelf[news.source] = news.SerializeToString()
+        kept = Source(news.source)
+        if not news.whole:
+            kept.take(wire.SourceNews.FromString(self.machine.shelf[news.source]))
+        if not kept.take(news):
+            return Failure(Fault(Kind.BAD_STORE, f"news of {news.source} leave something out"))
+        raw = kept.since(NEVER)
+        self.machine.shelf[news.source] = raw.SerializeToString() if raw is not None else b""
         return Success(None)
 
 
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -14,7 +14,7 @@
 from vetchusher.discovery.reader import Reader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import evacuation_rows
-from vetchusher.distribution.snapshot import SnapshotStore, whole
+from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import NEVER, Source, vector_of
 from vetchusher.distribution.subscriber import Send, Subscriber
 from vetchusher.events import Event, LogEvent
@@ -41,6 +41,7 @@
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
 LAST_VOTE_S = 0.5  # for others to take over when this one ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
+SHELF_BACK_OFF_S = 1.0  # after one that the disk refused
 
 
 class ControlNode:
@@ -319,13 +320,14 @@
     async def put_away(self, shelf: SnapshotStore, due: list[Source]) -> None:
         """Keep what has been told, off the loop; a disk that refuses is tried again after a while."""
         for ledger in due:
-            news = whole(ledger)
+            news = ledger.since(self.shelved.get(ledger.source, NEVER))
             if news is None:
                 continue
             outcome = await self.loop.run_in_executor(self.saving.thread, shelf.save, news)
             if isinstance(outcome, Failure):
                 self.note(LogEvent(Event.STORE_FAILED, {"why": outcome.failure().text}))
-                await asyncio.sleep(SHELF_PAUSE_S)
+                self.shelved.pop(ledger.source, None)  # all of it, when it is tried again
+                await asyncio.sleep(SHELF_BACK_OFF_S)
                 return
             self.shelved[ledger.source] = (news.stamp.epoch, news.stamp.seq)
         await asyncio.sleep(SHELF_PAUSE_S)
--- a/vetchusher/node/process.py
+++ b/vetchusher/node/process.py
@@ -122,7 +122,7 @@
                 first_start = False
         if not first_start or store.floor is not None:
             node = replace(node, first_start=False)
-        shelf = SnapshotStore.open(node.data_directory)
+        shelf = SnapshotStore.open(node.data_directory, node.limits.disk_mb)
         if isinstance(shelf, Failure):
             self.note(LogEvent(Event.STORE_FAILED, {"why": shelf.failure().text}))
         control_node = ControlNode(
