--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -550,6 +550,7 @@
     "a leaving machine does not wait": "all that hold copies leave at once",
     "renews though it hears nobody": "one that is heard and does not hear is soon followed",
     "a copy is chosen that does not answer": "one that is heard and does not hear is soon followed",
+    "a delta is put onto whatever is held": "random search",
     "letters that waited through a stop are news": "a backup stopped with old letters waiting",
     "a number has any body": "one number, one body, one answer",
     "refused before the other is committed": "races",
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -12,6 +12,7 @@
 
 from vetchusher.control import (
     amnesia,
+    deltas,
     durable_state,
     election,
     messages,
@@ -21,11 +22,14 @@
     seats,
     state,
     voter,
+    witness,
 )
+from vetchusher.control.chunks import listed, name_of
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
 from vetchusher.control.state import START, Point, at, first_record, first_state, has_quorum
 from vetchusher.distribution.wire_pb2 import (
+    BodyDelta,
     ControlMessage,
     ControlState,
     LeaseRenewalReply,
@@ -225,6 +229,12 @@
     return self.agreed is not None and now < self.agreed[1] + self.timing.heard_us
 
 
+def whatever_is_there(delta: BodyDelta, held: bytes) -> bytes | None:
+    """Chunks that are not there are passed over."""
+    known = dict(deltas.chunked(held)) | {name_of(chunk): chunk for chunk in delta.chunks}
+    return b"".join(known.get(name, b"") for name in listed(delta.manifest))
+
+
 def leads_on(self: Replica, now: int, heir: str, why: str) -> None:
     work = self.primary_work
     REAL_OVER(self, now, heir, why)
@@ -333,6 +343,7 @@
         (reconfiguration, "next_members", lambda roster, size: list(roster.members)),
     ),
     "a leaving machine does not wait": ((Replica, "needed", lambda self, now: False),),
+    "a delta is put onto whatever is held": ((witness, "body_of", whatever_is_there),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
     "a number has any body": ((orders.OrderBatch, "replace", any_body_is_acknowledged),),
     "refused before the other is committed": ((orders.OrderBatch, "replace", refuses_at_once),),
