--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -4,14 +4,27 @@
 The table: docs/design/control-callers.md."""
 
 import asyncio
+import random
+import socket
+import struct
 from collections import Counter
 from dataclasses import dataclass, field
+from unittest import mock
 
+from returns.result import Success
+from test_operator_api import Settler, message, read_answer
 from test_proxy import Client, ingress, scene, unhurried
 from testtools import TestCase
 
 from vetchusher.discovery.server import Server
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.emulator.outside.messages import read_message
+from vetchusher.emulator.system.local import claim_net
+from vetchusher.emulator.system.mutations import planted
+from vetchusher.emulator.system.world import Scene, World
+from vetchusher.node import operator_api, paths
+from vetchusher.node.callers import hung_up, waited_s
 from vetchusher.node.platform import Platform
 from vetchusher.settings.node import CloudApi
 
@@ -297,3 +310,215 @@
         finally:
             await platform.close()
             listener.close()
+
+
+class Operators(TestCase):
+    """From an operator to a core machine."""
+
+    def settled(self, raw, end, waited=None):
+        """What became of a call whose caller has written it, and ended the connection, before it is read."""
+
+        async def run():
+            settler = Settler()
+            door = operator_api.ControlDoor(settler, ("127.0.0.1", 0))
+            door.open()
+            caller = socket.create_connection(door.address)
+            caller.sendall(raw)
+            if end == "reset":
+                caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            if end == "half":
+                caller.shutdown(socket.SHUT_WR)
+            elif end != "keep":
+                caller.close()
+            try:
+                if end != "keep":
+                    while not door.door.links:
+                        await asyncio.sleep(0)
+                    while door.door.links:
+                        await asyncio.sleep(0)
+                    return settler.calls
+                reader, writer = await asyncio.open_connection(sock=caller)
+                status = (await read_answer(reader))[0]
+                writer.close()
+                return status, settler.calls
+            finally:
+                caller.close()
+                await door.close()
+
+        with mock.patch.object(operator_api, "waited_s", lambda wire: waited or waited_s(wire)):
+            return asyncio.run(asyncio.wait_for(run(), 30))
+
+    def test_a_call_whose_caller_has_left_is_not_carried_out(self):
+        """
+        operator   asks . leaves: asks another ........ orders the reverse there
+        machine    stands still ............................................... goes on: reads the call
+        """
+        for end in ("fin", "reset", "half"):
+            self.assertEqual([], self.settled(message("POST /evacuation/a/initiate"), end), end)
+
+    def test_a_call_that_lay_unread_too_long_is_not_carried_out(self):
+        """The operator may have left behind a cut, which tells nobody of it."""
+        raw = message("POST /evacuation/a/initiate")
+        self.assertEqual((503, []), self.settled(raw, "keep", operator_api.ANSWER_S))
+        self.assertEqual((200, [operator_api.InitiateEvacuation("a")]), self.settled(raw, "keep", 0.1))
+
+    def test_how_long_bytes_lie_there_is_known_without_reading_them(self):
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            with socket.create_connection(listener.getsockname()) as caller, listener.accept()[0] as taken:
+                transport = mock.Mock(
+                    **{"get_extra_info.return_value": taken, "is_closing.return_value": False}
+                )
+                caller.sendall(b"x")
+                while not waited_s(transport):
+                    pass
+                self.assertFalse(hung_up(transport))
+                caller.sendall(b"x")
+                self.assertTrue(waited_s(transport) < 10.0)
+                caller.shutdown(socket.SHUT_WR)
+                self.assertTrue(hung_up(transport))
+
+
+class Processes(TestCase):
+    """Frames from one process to another."""
+
+    def talk(self, script):
+        """Two processes: who asks, and another, whose frames `script` answers."""
+
+        async def run():
+            net, held = claim_net(random.Random())
+            loop = asyncio.get_running_loop()
+            heard = asyncio.Queue()
+            asks, other = (
+                paths.Paths(
+                    loop, f"{net}{n}", "a", 17_561, lambda *frame: heard.put_nowait(frame), mock.Mock()
+                )
+                for n in (2, 3)
+            )
+            try:
+                await asks.open()
+                await other.open()
+                return await script(asks, other, heard)
+            finally:
+                await asks.close()
+                await other.close()
+                held.close()
+
+        return asyncio.run(asyncio.wait_for(run(), 30))
+
+    def test_answers_come_to_their_own_questions_in_whatever_order(self):
+        async def script(asks, other, heard):
+            questions = [asyncio.ensure_future(asks.ask(other.ip, wire.Frame(), 10.0)) for _ in range(3)]
+            came = [await heard.get() for _ in questions]
+            for frame, way in (came[2], came[0], came[0], came[1], came[2]):  # two of them twice
+                way.reply(frame, wire.Frame(done=wire.OrderDone(number=frame.call)))
+            told = [(await question).done.number for question in questions]
+            late = await asks.ask(other.ip, wire.Frame(), 0.0)
+            again = asyncio.ensure_future(asks.ask(other.ip, wire.Frame(), 10.0))
+            for _ in range(2):  # the one that was given up is answered first
+                frame, way = await heard.get()
+                way.reply(frame, wire.Frame(done=wire.OrderDone(number=frame.call)))
+            return (
+                [f.call for f, _ in came] == told,
+                late,
+                (await again).done.number == frame.call,
+                asks.calls,
+            )
+
+        self.assertEqual((True, None, True, {}), self.talk(script))
+
+    def test_an_answer_counts_on_the_connection_of_its_question_only(self):
+        """An earlier life of who asks had the same numbers; what is still under way to it comes elsewhere."""
+
+        async def script(asks, other, heard):
+            question = asyncio.ensure_future(asks.ask(other.ip, wire.Frame(), 10.0))
+            frame, way = await heard.get()
+            earlier = wire.Frame(call=frame.call, reply=True, done=wire.OrderDone(text="of an earlier life"))
+            other.tell(asks.ip, earlier)
+            other.tell(asks.ip, wire.Frame())  # behind it on that connection
+            await heard.get()
+            way.reply(frame, wire.Frame(done=wire.OrderDone(text="of this one")))
+            return (await question).done.text
+
+        self.assertEqual("of this one", self.talk(script))
+
+
+class Evacuations(TestCase):
+    """Orders without a number of their own, on core machines in virtual time."""
+
+    def setUp(self):
+        super().setUp()
+        self.begin()
+
+    def begin(self):
+        self.world = World(Scene(seed=3))
+        self.world.warm_up()
+        self.primary = self.world.primary()
+        self.passing, self.other = (m.name for m in self.world.cores if m.name != self.primary)
+
+    def order(self, name, on):
+        """Begin an order at that machine; its outcome is appended to what is returned."""
+        machine, outcomes = self.world.machines[name], []
+        call = operator_api.InitiateEvacuation("gulf-b") if on else operator_api.TerminateEvacuation("gulf-b")
+
+        async def settle():
+            outcomes.append(await machine.part.settle(call))
+
+        machine.loop.call_soon(lambda: machine.loop.create_task(settle()))
+        return outcomes
+
+    def run_for(self, span):
+        self.world.run(self.world.clock.at + span)
+
+    def acknowledged(self, on):
+        outcomes = self.order(self.other, on)
+        self.run_for(300 * MS)
+        self.assertEqual([Success(operator_api.EvacuationSet("gulf-b", on))], outcomes)
+
+    def in_force(self):
+        state = self.world.machines[self.primary].part.member.memory.state
+        return {one.zone: one.on for one in state.evacuations}.get("gulf-b", False)
+
+    def cut_before(self, question):
+        """Cut the two machines as the one that passes on is about to write that question."""
+        part = self.world.machines[self.passing].part
+        real = part.paths.ask
+
+        def ask(ip, frame, patience_s):
+            if frame.order.WhichOneof("order") == question:
+                self.world.cut(self.passing, [self.primary])
+            return real(ip, frame, patience_s)
+
+        part.paths.ask = ask
+
+    def held_up(self, question):
+        """
+        passing on   takes `initiate` .. cut off as it writes ................. joined: its bytes arrive
+        other        .................... `initiate`, `terminate`: acknowledged
+        """
+        self.cut_before(question)
+        self.order(self.passing, True)
+        self.run_for(300 * MS)
+        self.acknowledged(True)
+        self.acknowledged(False)
+        self.run_for(300 * MS)
+        self.world.join(self.passing)
+        self.run_for(SECOND)
+        return self.in_force()
+
+    def test_an_order_held_up_on_its_way_does_not_undo_later_ones(self):
+        self.assertFalse(self.held_up("evacuate"))
+
+    def test_an_order_held_up_before_it_is_passed_on_does_not_undo_later_ones(self):
+        self.assertFalse(self.held_up("evacuation_number"))
+
+    def test_each_of_the_two_is_seen_without_its_guard(self):
+        with planted("an order of evacuation bears no number"):
+            self.assertTrue(self.held_up("evacuate"))
+        self.begin()
+        with planted("what was held up is passed on"):
+            self.assertTrue(self.held_up("evacuation_number"))
+
+    def test_an_order_passed_on_in_time_is_carried_out(self):
+        for on in (True, True, False, False, True):
+            self.acknowledged(on)
+            self.assertEqual(on, self.in_force())
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -114,8 +114,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SetEvacuation:
+    """:param after: number of the zone's last order when this one was passed on; None: it never was"""
+
     zone: str
     on: bool
+    after: int | None = None
 
 
 Order = Replace | Retrieve | SetEvacuation
--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -45,7 +45,7 @@
 )
 from .primary import Primary
 from .progress import Peers
-from .state import Point, at, first_record, first_state, place
+from .state import Point, at, first_record, first_state, last_order, place
 from .voter import Voter
 from .witness import Witness
 
@@ -153,6 +153,10 @@
     def amnesiac(self) -> bool:
         return self.recovery is not None
 
+    def last_evacuation(self, zone: str) -> int:
+        """Number of the zone's last order, as far as it has been taken here."""
+        return last_order(self.memory.state, zone)
+
     # -- inputs --------------------------------------------------------------------------------
 
     def handle(self, now: int, event: Input) -> list[Output]:
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -93,6 +93,9 @@
     held = first((e for e in state.evacuations if e.zone == order.zone), None)
     if order.on == (held is not None and held.on):
         return Success(state)
+    # Danger: on its way between two machines an order may be held up, and come after later ones.
+    if order.after is not None and order.after != last_order(state, order.zone):
+        return Failure(Fault(Kind.NOT_SETTLED, "the zone had another order meanwhile"))
     if held is None and len(state.evacuations) >= MOST_ZONES:
         return Failure(Fault(Kind.INVALID, f"evacuation of {order.zone[:40]}: too many zones are named"))
     number = 1 + max((e.order for e in state.evacuations), default=0)
@@ -104,6 +107,11 @@
     return Success(made)
 
 
+def last_order(state: ControlState, zone: str) -> int:
+    """Number of the zone's last order of evacuation; 0: there was none."""
+    return max((e.order for e in state.evacuations if e.zone == zone), default=0)
+
+
 def without_configuration(state: ControlState) -> ControlState:
     made = ControlState(
         stamp=state.stamp,
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 import contextlib
+import dataclasses
 from collections.abc import Iterator
 from typing import Any
 from unittest import mock
 
 from returns.result import Success
 
+from vetchusher.control import SetEvacuation
+from vetchusher.control import state as control_state
 from vetchusher.discovery import reader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import NEVER, Source, Told
@@ -16,12 +19,13 @@
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
-from vetchusher.node import edge_node
+from vetchusher.node import control_node, edge_node
 from vetchusher.routing import choice, claims, request
 
 from . import world
 
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
+REAL_EVACUATED = control_state.evacuated
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
 
 
@@ -46,6 +50,10 @@
     return [SendPull(ip, self.pulls, wire.Pull(vector=nothing))]
 
 
+def evacuates_at_any_time(state: wire.ControlState, order: SetEvacuation) -> Any:
+    return REAL_EVACUATED(state, dataclasses.replace(order, after=None))
+
+
 def keeps_the_drained(self: choice.Choice) -> None:
     REAL_PLACE(self)
     for standing in self.standings.values():
@@ -77,6 +85,8 @@
     "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
+    "an order of evacuation bears no number": ((control_state, "evacuated", evacuates_at_any_time),),
+    "what was held up is passed on": ((control_node, "OVERTAKEN_US", 1 << 61),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
 }
 
--- /dev/null
+++ b/vetchusher/node/callers.py
@@ -0,0 +1,33 @@
+"""How long a call has waited unread in the kernel, and whether its caller still waits for the answer.
+
+A process that stood still finds calls in its sockets whose callers have long gone on to another machine.  An
+order that is carried out then comes after whatever these have ordered since.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import select
+import socket
+import struct
+
+# struct tcp_info of Linux: eight bytes, then unsigned ints; the twelfth: milliseconds since data came last.
+LAST_DATA_AT = 8 + 4 * 11
+LAST_DATA = struct.Struct("=I")
+HUNG_UP = select.POLLHUP | select.POLLERR | select.POLLRDHUP
+
+
+def waited_s(transport: asyncio.BaseTransport) -> float:
+    """Seconds since the last byte came on the connection, read or not."""
+    end = LAST_DATA_AT + LAST_DATA.size
+    raw = transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, end)
+    return float(LAST_DATA.unpack_from(raw, LAST_DATA_AT)[0]) / 1e3
+
+
+def hung_up(transport: asyncio.BaseTransport) -> bool:
+    """Whether the other side has ended the connection, also where the event loop has yet to hear of it."""
+    if transport.is_closing():
+        return True
+    poller = select.poll()
+    poller.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+    return any(events & HUNG_UP for _, events in poller.poll(0))
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -37,12 +37,17 @@
 TICK_S = 0.05
 READ_PAUSE_S = 0.6  # between two whole reads of the list
 PASS_ON_S = 2.5  # for the primary's answer to an order passed on
+OVERTAKEN_US = 900_000  # since it came: an order that bears no number is passed on no later
 MOST_WATCHERS = 2048
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
 LAST_VOTE_S = 0.5  # for others to take over when this one ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
 
 
+def evacuation_of(asked: wire.Evacuate) -> control.SetEvacuation:
+    return control.SetEvacuation(asked.zone, asked.on, asked.after if asked.HasField("after") else None)
+
+
 class ControlNode:
     def __init__(
         self,
@@ -235,7 +240,7 @@
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
             return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", 300_000))
-        answer = await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+        answer = await self.ask_primary(primary, passed)
         if answer is None or answer.WhichOneof("body") != "done":
             return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", 300_000))
         if answer.done.kind:
@@ -243,6 +248,22 @@
             return Failure(Fault(kind, answer.done.text, 300_000))
         return Success(answer.done.body)
 
+    async def ask_primary(self, primary: str, passed: wire.OrderAsked) -> wire.Frame | None:
+        """Its answer to an order passed on; an evacuation goes with the number of the zone's last order.
+
+        Danger: its caller may have given the same order elsewhere by now, and others since.  Held up here, it
+        is dropped; on its way, refused by the number.
+        """
+        began = self.now()
+        if passed.HasField("evacuate"):
+            asked = wire.EvacuationNumberAsked(zone=passed.evacuate.zone)
+            frame = wire.Frame(order=wire.OrderAsked(evacuation_number=asked))
+            told = await self.paths.ask(primary, frame, PASS_ON_S)
+            if told is None or told.done.kind or self.now() >= began + OVERTAKEN_US:
+                return None
+            passed.evacuate.after = told.done.number
+        return await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+
     async def submit(self, order: control.Order) -> Result[bytes, Fault]:
         number, self.next_order = self.next_order, self.next_order + 1
         future: asyncio.Future[Result[bytes, Fault]] = self.loop.create_future()
@@ -274,7 +295,11 @@
             elif kind == "retrieve":
                 outcome = await self.submit(control.Retrieve())
             elif kind == "evacuate":
-                outcome = await self.submit(control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on))
+                outcome = await self.submit(evacuation_of(asked.evacuate))
+            elif kind == "evacuation_number":
+                done = wire.OrderDone(number=self.member.last_evacuation(asked.evacuation_number.zone))
+                channel.reply(frame, wire.Frame(done=done))
+                return
         done = wire.OrderDone()
         match outcome:
             case Success(body):
--- a/vetchusher/node/operator_api.py
+++ b/vetchusher/node/operator_api.py
@@ -24,6 +24,8 @@
 from vetchusher.net.door import ClientLink, Door
 from vetchusher.net.plain import seconds_text
 
+from .callers import hung_up, waited_s
+
 log = logging.getLogger("vetchusher")
 
 PLACES = 256  # connections at once at a door
@@ -195,6 +197,17 @@
     return response
 
 
+def overtaken() -> web.Response:
+    response = written(Failure(Fault(Kind.NOT_SETTLED, "this machine stood still")))
+    response.force_close()
+    return response
+
+
+def patience_s(parts: list[bytes]) -> float:
+    """Seconds for which a caller waits for the answer, from the last byte of its body."""
+    return min(ANSWER_S + sum(map(len, parts)) * ANSWER_BYTE_S, SETTLE_S)
+
+
 # -- the doors -----------------------------------------------------------------------------------
 
 
@@ -279,7 +292,12 @@
             problem = await self.body(request, link, way, parts)
             if problem is not None:
                 return problem
-            return await self.settled(way, Asked(match.groupdict(), dict(request.query), b"".join(parts)))
+            waited = waited_s(link.wire)
+            if hung_up(link.wire) or waited >= patience_s(parts):
+                # Danger: its caller has given the same order to another machine, and others since.
+                return overtaken()
+            asked = Asked(match.groupdict(), dict(request.query), b"".join(parts))
+            return await self.settled(way, asked, patience_s(parts) - waited)
         finally:
             self.held -= sum(map(len, parts))
 
@@ -312,17 +330,17 @@
             return refused(400, " ".join(str(err).split())[:MOST_NAME])
         return None
 
-    async def settled(self, way: Way, asked: Asked) -> web.Response:
+    async def settled(self, way: Way, asked: Asked, left_s: float) -> web.Response:
+        """:param left_s: for which the caller still waits"""
         read = way.read(asked)
         if isinstance(read, Failure):
             return written(read)
         call = read.unwrap()
-        patience_s = min(ANSWER_S + len(asked.body) * ANSWER_BYTE_S, SETTLE_S)
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(left_s):
                 outcome = await self.settle(call)
         except TimeoutError:
-            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {patience_s:.1f} s"))
+            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {left_s:.1f} s"))
         if isinstance(outcome, Failure) and self.refused is not None:
             self.refused(call, outcome.failure())
         return written(outcome)
--- a/vetchusher/node/paths.py
+++ b/vetchusher/node/paths.py
@@ -263,6 +263,8 @@
         if not frame.reply:
             self.serve(frame, channel)
             return
-        future, _ = self.calls.get(frame.call, (None, None))
-        if future is not None and not future.done():
+        # Danger: numbers begin again with each life of a process.  A connection ends with either of its two,
+        # so on the connection on which a question was asked its number stands for that question alone.
+        future, way = self.calls.get(frame.call, (None, None))
+        if future is not None and way is channel and not future.done():
             future.set_result(frame)
