--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -25,6 +25,7 @@
 from vetchusher.emulator.system.world import Scene, World
 from vetchusher.node import operator_api, paths
 from vetchusher.node.callers import hung_up, waited_s
+from vetchusher.node.lives import Lives
 from vetchusher.node.platform import Platform
 from vetchusher.settings.node import CloudApi
 
@@ -442,6 +443,47 @@
         self.assertEqual("of this one", self.talk(script))
 
 
+class EarlierLives(TestCase):
+    """What lies unread on a connection of a process that has ended since."""
+
+    def test_who_spoke_on_a_later_connection_is_believed(self):
+        lives = Lives()
+        heard = [(7, 1), (7, 3), (5, 4), (7, 3), (7, 1), (5, 4), (9, 6), (5, 5), (7, 3), (9, 6), (0, 1)]
+        told = [lives.current("control", "10.0.0.2", life, connection) for life, connection in heard]
+        expected = [True, True, True, False, False, True, True, False, False, True, True]
+        self.assertEqual(expected, told)
+        self.assertTrue(
+            lives.current("heartbeat", "10.0.0.2", 7, 1) and lives.current("control", "10.0.0.3", 7, 1)
+        )
+
+    def test_an_ingress_that_was_ready_is_not_ready_again_by_its_earlier_word(self):
+        """
+        ingress   life 1: ready ... ends .... life 2: starting
+        core      stands still ............. goes on: reads of life 2, then what lay there of life 1
+        """
+        world = World(Scene(seed=3))
+        world.warm_up()
+        part = world.machines["1"].part
+        for life, connection, standing in (
+            (2, 92, wire.STARTING),
+            (1, 91, wire.READY),
+            (2, 92, wire.LEAVING),
+        ):
+            beat = wire.Heartbeat(node="e9", ip="10.0.1.9", front="10.0.1.9:80", life=life, standing=standing)
+            part.serve(wire.Frame(sender="10.0.1.9", heartbeat=beat), mock.Mock(number=connection))
+            self.assertNotEqual(wire.READY, part.presence.ingresses["e9"].standing)
+
+    def test_a_core_machine_hears_nothing_of_an_earlier_life_of_another(self):
+        world = World(Scene(seed=3))
+        world.warm_up()
+        part = world.machines["1"].part
+        for life, connection, heard in ((8, 91, 1), (9, 92, 1), (8, 91, 0), (9, 92, 1)):
+            message = wire.ControlMessage(life=life)
+            with mock.patch.object(part, "feed") as feed:
+                part.serve(wire.Frame(sender="10.0.0.9", control=message), mock.Mock(number=connection))
+            self.assertEqual(heard, feed.call_count)
+
+
 class Evacuations(TestCase):
     """Orders without a number of their own, on core machines in virtual time."""
 
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -120,6 +120,8 @@
             "what may have run is promised not to": "REFUSED",
         }
         self.finds("servers", rules)
+        rules = {"answers are not told by their ids": "MIXED", "keys go along to servers": "UNASKED"}
+        self.finds("servers", rules)
         self.finds("servers", {"extra tries without a budget": "BUDGET", "quotas are not judged": "QUOTA"})
 
 
--- a/vetchusher/emulator/system/judge.py
+++ b/vetchusher/emulator/system/judge.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass, field
 
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.routing.headers import SUBSCRIBER
 from vetchusher.settings.node import Bounds
 
 PROMISES = (408, 421, 429, 503)
@@ -37,6 +38,10 @@
     life: int
     sent_at: int
 
+    @property
+    def target(self) -> str:
+        return f"{self.path}x"
+
 
 @dataclass(slots=True, frozen=True)
 class Place:
@@ -84,6 +89,9 @@
         self.asked: dict[str, Asked] = {}
         self.runs: dict[str, list[int]] = defaultdict(list)  # by request: when
         self.statuses: dict[str, int] = {}
+        self.answers: dict[
+            bytes, tuple[str, int]
+        ] = {}  # of servers, by their bodies: to whom, and the status
         self.arrivals: dict[str, int] = Counter()
         self.extra: dict[str, list[int]] = defaultdict(list)  # by service: arrivals beyond the first
         self.wanted: dict[str, list[int]] = defaultdict(list)  # by service: requests for it
@@ -157,6 +165,18 @@
             self.say("ROUTE", f"{asked.path} by {asked.ingress} at {place.service}")
         self.handled(asked, allowed, f"run by {place.service}")
 
+    def reaches(self, asked: Asked | None, id: str, target: str, headers: Mapping[str, str]) -> None:
+        """What a server was sent: a request of a client, and as that client sent it."""
+        if asked is None or target != asked.target:
+            self.say("UNASKED", f"{target} under {id}")
+        elif "Authorization" in headers or headers.get(SUBSCRIBER) != asked.tenant:
+            self.say("UNASKED", f"{target} of {asked.tenant}, under another name or with its key")
+
+    def delivered(self, asked: Asked, status: int, answer: bytes) -> None:
+        """What a client got of a server."""
+        if self.answers.get(answer) != (asked.id, status):
+            self.say("MIXED", f"{asked.path} by {asked.ingress} got {status}, {self.answers.get(answer)} was")
+
     def answered(self, asked: Asked, status: int) -> None:
         self.statuses[asked.id] = status
         if not asked.repeatable and status in PROMISES and self.runs[asked.id]:
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -19,12 +19,13 @@
 from vetchusher.kinds import Fault, Kind
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
-from vetchusher.node import control_node, edge_node
-from vetchusher.routing import choice, claims, request
+from vetchusher.node import control_node, edge_node, proxy
+from vetchusher.routing import choice, claims, headers, request
 
 from . import world
 
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
+REAL_OVER = proxy.Flow.over
 REAL_EVACUATED = control_state.evacuated
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
 
@@ -54,6 +55,15 @@
     return REAL_EVACUATED(state, dataclasses.replace(order, after=None))
 
 
+def takes_the_answer_before(self: proxy.Flow, number: int, seen: claims.Seen, prompt: bool, got: Any) -> None:
+    """As if whatever lies on a connection were the answer."""
+    waiting = vars(self.front).setdefault("waiting", [])
+    if got is not None:
+        waiting.append(got)
+        got = waiting.pop(0) if len(waiting) > 1 else got
+    REAL_OVER(self, number, seen, prompt, got)
+
+
 def keeps_the_drained(self: choice.Choice) -> None:
     REAL_PLACE(self)
     for standing in self.standings.values():
@@ -83,6 +93,10 @@
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
     "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
+    "answers are not told by their ids": ((proxy.Flow, "over", takes_the_answer_before),),
+    "keys go along to servers": (
+        (request, "passed_on", lambda given, keyed: headers.passed_on(given, keyed=False)),
+    ),
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
     "an order of evacuation bears no number": ((control_state, "evacuated", evacuates_at_any_time),),
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -146,7 +146,7 @@
             clock.after(send.connect_us, lambda: self.finish(errand, Seen.NO_CONNECTION))
         else:
             errand.begun = True
-            clock.after(self.net.way(here, ip), lambda: self.arrive(errand, ip, matter.id.decode()))
+            clock.after(self.net.way(here, ip), lambda: self.arrive(errand, ip, matter))
         return errand
 
     def cancel(self, errand: Errand) -> None:
@@ -181,7 +181,7 @@
 
         self.net.clock.after(way, come)
 
-    def arrive(self, errand: Errand, ip: str, id: str) -> None:
+    def arrive(self, errand: Errand, ip: str, matter: Matter) -> None:
         servers, judge = self.servers, self.servers.judge
         server = servers.at_address.get(ip)
         if server is None:
@@ -191,6 +191,8 @@
             self.back(errand, ip, Seen.MISDIRECTED)
             return
         judge.at = servers.now()
+        id = matter.id.decode()
+        judge.reaches(judge.asked.get(id), id, matter.target, dict(errand.send.headers))
         asked, place = judge.asked[id], servers.place(server)
         judge.arrives(asked, place)
         rng = self.net.clock.rng
@@ -203,15 +205,22 @@
             return
         judge.runs_at(asked, place)
         server.at_work += 1
-        self.net.clock.after(rng.randrange(*servers.work_us), lambda: self.worked(errand, server, mood))
+        self.net.clock.after(rng.randrange(*servers.work_us), lambda: self.worked(errand, server, mood, id))
 
-    def worked(self, errand: Errand, server: Server, mood: str) -> None:
+    def worked(self, errand: Errand, server: Server, mood: str, id: str) -> None:
         server.at_work -= 1
         if mood == "silent":
             return
         if mood in ("reset", "cut"):
             self.back(errand, server.ip, Seen.RESET if mood == "reset" else Seen.GARBLED)
         elif mood == "error":
-            self.back(errand, server.ip, Seen.SERVER_ERROR, Got(500, "", [], b"", 0))
+            self.back(errand, server.ip, Seen.SERVER_ERROR, self.answer(id, 500))
         else:
-            self.back(errand, server.ip, Seen.ANSWERED, Got(200, "OK", [], b"", 0))
+            self.back(errand, server.ip, Seen.ANSWERED, self.answer(id, 200))
+
+    def answer(self, id: str, status: int) -> Got:
+        """Each has a body of its own, by which the judge knows it again."""
+        answers = self.servers.judge.answers
+        body = f"answer {len(answers) + 1}".encode()
+        answers[body] = id, status
+        return Got(status, "", [], body, len(body))
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -25,7 +25,7 @@
 from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
 from vetchusher.node import operator_api
-from vetchusher.node.attempts import Matter
+from vetchusher.node.attempts import Got, Matter
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import Paths
@@ -414,16 +414,19 @@
             ("Authorization", f"Bearer key-{asked.tenant}"),
         ]
         front = part.front
-        judged = judge(front.ground, Head("POST", f"{asked.path}x", headers, front.now()))
+        judged = judge(front.ground, Head("POST", asked.target, headers, front.now()))
         if isinstance(judged, Failure):
             self.answered(asked, judged.failure().status, then)
             return
         way = judged.unwrap()
-        flow = Flow(front, way, Matter("POST", f"{asked.path}x", [], asked.id.encode()))
+        flow = Flow(front, way, Matter("POST", asked.target, [], asked.id.encode()))
 
         async def serve() -> None:
             flow.start()
             answer = await flow.answer
+            if isinstance(answer, Got):
+                assert isinstance(answer.body, bytes)
+                self.judge.delivered(asked, answer.status, answer.body)
             self.answered(asked, answer.status, then)
             flow.close(True)
 
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -27,6 +27,7 @@
 from . import operator_api
 from .applying import Applying
 from .following import Following
+from .lives import Lives
 from .paths import Channel, Paths
 from .persistence import Persister
 from .platform import Platform
@@ -92,6 +93,7 @@
         self.telling = Publisher(self.sources)
         self.applying = Applying(loop, self.reading, self.tell_state, note)
         self.configuration: Configuration | None = None
+        self.lives = Lives()
         self.watchers: dict[str, Channel] = {}  # by ip: to whom a grown vector is told unasked
         self.orders: dict[int, asyncio.Future[Result[bytes, Fault]]] = {}
         self.next_order = 1
@@ -148,6 +150,8 @@
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
+        if self.overtaken(frame, channel):
+            return
         if kind == "control":
             heard = control.Received(frame.sender, frame.zone, frame.control)
             if frame.control.WhichOneof("kind") in LETTERS:
@@ -179,6 +183,15 @@
         elif kind == "heartbeat_reply":
             self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
 
+    def overtaken(self, frame: wire.Frame, channel: Channel) -> bool:
+        """Whether a later life of the process that wrote this has been heard.
+
+        Danger: it speaks of a disk that may be lost since, and of an ingress that has ended.
+        """
+        kind = frame.WhichOneof("body")
+        life = {"control": frame.control.life, "heartbeat": frame.heartbeat.life}.get(kind or "", 0)
+        return not self.lives.current(kind or "", frame.sender, life, channel.number)
+
     def heard(self) -> wire.HeartbeatReply:
         now = self.now()
         return wire.HeartbeatReply(
--- a/vetchusher/node/paths.py
+++ b/vetchusher/node/paths.py
@@ -47,6 +47,7 @@
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.heard_at = 0.0
+        self.number = 0  # of the connections of this process, in the order in which they began
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -129,6 +130,7 @@
         self.accepted: set[Channel] = set()
         self.calls: dict[int, tuple[asyncio.Future[wire.Frame | None], Channel | None]] = {}
         self.next_call = 1
+        self.connections = 0  # that have begun
         self.bytes_out = 0
         self.server: asyncio.Server | None = None
 
@@ -153,6 +155,8 @@
     # -- connections ------------------------------------------------------------------
 
     def opened(self, channel: Channel) -> None:
+        self.connections += 1
+        channel.number = self.connections
         if channel.peer:
             return
         if len(self.accepted) >= MOST_ACCEPTED:
