--- a/vetchusher/emulator/system/judge.py
+++ b/vetchusher/emulator/system/judge.py
@@ -101,6 +101,8 @@
             list
         )  # by life: when, version
         self.evacuated: dict[str, int] = {}  # by zone: acknowledged when
+        self.unsettled: dict[str, int] = Counter()  # by zone: orders of evacuation that are not acknowledged
+        self.stands: dict[str, bool | None] = {}  # by zone: what was ordered last; None: two at a time were
         self.platform_well: int | None = 0  # since when; None: it is not
 
     def say(self, rule: str, what: str) -> None:
@@ -123,6 +125,22 @@
         if number is None or number < self.floor(self.at):
             self.say("LOST", f"r{number} was read at the end, r{self.floor(self.at)} had been acknowledged")
 
+    def orders(self, zone: str, on: bool) -> None:
+        self.unsettled[zone] += 1
+        self.stands[zone] = on if self.unsettled[zone] == 1 else None
+
+    def settled(self, zone: str) -> None:
+        """The order is acknowledged."""
+        self.unsettled[zone] -= 1
+
+    def evacuations(self, in_force: Mapping[str, bool]) -> None:
+        """At the end: of orders to a zone that were given one after the other, the last one stands."""
+        for zone, on in self.stands.items():
+            if on is not None and not self.unsettled[zone] and in_force.get(zone, False) != on:
+                self.say(
+                    "LOST", f"{zone} is {'not ' if on else ''}evacuated, the opposite was acknowledged last"
+                )
+
     # -- clients and servers --------------------------------------------------------------------
 
     def asks(self, asked: Asked) -> None:
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -486,8 +486,10 @@
     def evacuate(self, zone: str, on: bool, then: Callable[[], None] = lambda: None) -> None:
         if not on:
             self.judge.evacuated.pop(zone, None)
+        self.judge.orders(zone, on)
 
         def done(_: operator_api.Answer) -> None:
+            self.judge.settled(zone)
             if on:
                 self.judge.evacuated[zone] = self.clock.at
             then()
@@ -508,6 +510,9 @@
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
         self.judge.read_back(came[0] if came else None)
+        part = self.machines[self.primary()].part if self.primary() else None
+        if isinstance(part, ControlNode):
+            self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
 
     # -- a run -----------------------------------------------------------------------------------
 
