--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -13,7 +13,7 @@
 
 from returns.result import Success
 from test_operator_api import Settler, message, read_answer
-from test_proxy import Client, ingress, scene, unhurried
+from test_proxy import HOST, Client, ingress, scene, unhurried
 from testtools import TestCase
 
 from vetchusher.discovery.server import Server
@@ -23,7 +23,7 @@
 from vetchusher.emulator.system.local import claim_net
 from vetchusher.emulator.system.mutations import planted
 from vetchusher.emulator.system.world import Scene, World
-from vetchusher.node import operator_api, paths
+from vetchusher.node import operator_api, paths, proxy
 from vetchusher.node.callers import hung_up, waited_s
 from vetchusher.node.lives import Lives
 from vetchusher.node.platform import Platform
@@ -103,6 +103,16 @@
         return id
 
 
+def leave(caller, end):
+    """End a client's socket as told; `keep`: it stays."""
+    if end == "reset":
+        caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    if end == "half":
+        caller.shutdown(socket.SHUT_WR)
+    elif end != "keep":
+        caller.close()
+
+
 class FirstOnly:
     """A script for several servers: a request's first arrival meets it, at any of them; others are served."""
 
@@ -274,6 +284,69 @@
                     self.assertEqual(statuses, (status, other.runs[client.id]), written)
 
 
+class Clients(TestCase):
+    """From a client to an ingress."""
+
+    def head(self, id, left, path="once"):
+        lines = f"GET /{path}/1 HTTP/1.1\r\nHost: {HOST}\r\n{ID}: {id}\r\nAuthorization: Bearer key-1\r\n"
+        return f"{lines}X-Vetchusher-Time-Remaining: {left}\r\n\r\n".encode()
+
+    @unhurried
+    async def test_requests_one_behind_another_get_their_own_answers_whatever_became_of_them(self):
+        """Silent until its time is over, cut off, well, lost, silent, well, well; all written at once."""
+        ends = {
+            "silent": (b"", "keep", 504),
+            "cut": (answer("x")[:-2], "fin", 502),
+            "lost": (b"", "reset", 502),
+            "well": (None, "keep", 200),
+        }
+        ids = [
+            f"{name}-{n}"
+            for n, name in enumerate(["silent", "cut", "well", "lost", "silent", "well", "well"])
+        ]
+        server = Scripted("i-1")
+
+        def script(id):
+            raw, end, _ = ends[id.partition("-")[0]]
+            return (answer(id) if raw is None else raw.replace(b"x", id.encode(), 1)), end
+
+        server.script = script
+        async with ingress(server) as (_, port), Client(port) as client:
+            client.writer.write(b"".join(self.head(id, 300) for id in ids))
+            for id in ids:
+                status, headers, _ = await client.answer()
+                expected = ends[id.partition("-")[0]][2]
+                named = id if expected == 200 else None
+                self.assertEqual((expected, named), (status, headers.get(ID.lower())), id)
+            self.assertEqual({id: 1 for id in ids}, server.runs)
+
+    @scene
+    async def test_a_request_whose_client_has_left_is_not_sent_on(self):
+        """
+        client    asks . leaves
+        ingress   stands still ........ goes on: reads the request, then that the client has left
+        """
+        for end in ("fin", "reset", "half"):
+            server = Scripted("i-1")
+            async with ingress(server) as (front, port):
+                with socket.create_connection(("127.0.0.1", port)) as client:
+                    client.sendall(self.head("id-1", 3000))
+                    leave(client, end)
+                    while not front.ends:
+                        await asyncio.sleep(0)
+                self.assertEqual({}, server.runs, end)
+
+    @scene
+    async def test_a_request_that_lay_unread_for_its_time_never_ran(self):
+        for waited, status, runs in ((0.2, 200, 1), (4.0, 503, 0)):
+            server = Scripted("i-1")
+            async with ingress(server) as (_, port), Client(port) as client:
+                with mock.patch.object(proxy, "waited_s", lambda wire: waited):  # noqa: B023
+                    told, headers, _ = await client.ask("POST /once/1", b"x", left=3000)
+                self.assertEqual((status, runs), (told, sum(server.runs.values())))
+                self.assertEqual(status == 503, "retry-after" in headers)
+
+
 class List(TestCase):
     """From a core machine to the platform."""
 
@@ -325,12 +398,7 @@
             door.open()
             caller = socket.create_connection(door.address)
             caller.sendall(raw)
-            if end == "reset":
-                caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            if end == "half":
-                caller.shutdown(socket.SHUT_WR)
-            elif end != "keep":
-                caller.close()
+            leave(caller, end)
             try:
                 if end != "keep":
                     while not door.door.links:
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -42,6 +42,7 @@
 from vetchusher.settings.configuration import ClientLimits, Configuration
 
 from .attempts import Attempt, Attempts, Got, Matter
+from .callers import hung_up, waited_s
 
 log = logging.getLogger("vetchusher")
 
@@ -280,7 +281,9 @@
         # for another protocol the reader takes the body for that.
         if request.version != HttpVersion11 or ("Upgrade" in request.headers and request.body_exists):
             return self.refuse(request, Fault(Kind.UNREADABLE, "this protocol is not spoken here"))
-        head = Head(request.method, request.raw_path, list(request.headers.items()), self.now())
+        # Danger: in a process that stood still it lay unread, and its client's time went on.
+        arrived_at = self.now() - int(waited_s(link.wire) * 1e6)
+        head = Head(request.method, request.raw_path, list(request.headers.items()), arrived_at)
         judged = judge(self.ground, head)
         if isinstance(judged, Failure):
             return self.refuse(request, judged.failure())
@@ -292,6 +295,8 @@
                 return self.refuse(request, Fault(Kind.NO_SERVER, "no connection is free", BUSY_AGAIN_US))
             if request.body_exists and (fault := await self.read(request, link, body, way.deadline)):
                 return self.refuse(request, fault)
+            if hung_up(link.wire):
+                return self.refuse(request, Fault(Kind.NEVER_RAN, "its client has left"))
             return await self.serve(request, link, way, body)
         finally:
             self.held -= sum(map(len, body))
