--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -621,6 +621,28 @@
     def test_an_order_held_up_before_it_is_passed_on_does_not_undo_later_ones(self):
         self.assertFalse(self.held_up("evacuation_number"))
 
+    def test_the_same_frame_once_more_is_acknowledged_and_undoes_nothing(self):
+        """Twice at once, and after the reverse order; a configuration under its version likewise."""
+        part = self.world.machines[self.primary].part
+        state = part.member.memory.state
+        configuration = wire.ReplaceConfiguration(body=state.configuration)
+        evacuate = wire.Frame(order=wire.OrderAsked(evacuate=wire.Evacuate(zone="gulf-b", on=True, after=0)))
+        told = []
+        for frame, reverse in ((evacuate, False), (evacuate, True), (evacuate, False)):
+            way = mock.Mock(number=1)
+            replace = wire.Frame(order=wire.OrderAsked(replace=configuration))
+            for one in (frame, frame, replace):
+                part.loop.call_soon(part.serve, one, way)
+            self.run_for(300 * MS)
+            told.append([call.args[1].done.kind for call in way.reply.call_args_list])
+            if reverse:
+                self.acknowledged(False)
+        late = "not_settled"
+        self.assertEqual([["", "", ""], ["", "", ""]], [sorted(kinds) for kinds in told[:2]])
+        self.assertEqual(["", late, late], sorted(told[2]))
+        self.assertFalse(self.in_force())
+        self.assertEqual(state.version, part.member.memory.state.version)
+
     def test_each_of_the_two_is_seen_without_its_guard(self):
         with planted("an order of evacuation bears no number"):
             self.assertTrue(self.held_up("evacuate"))
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -272,7 +272,9 @@
             asked = wire.EvacuationNumberAsked(zone=passed.evacuate.zone)
             frame = wire.Frame(order=wire.OrderAsked(evacuation_number=asked))
             told = await self.paths.ask(primary, frame, PASS_ON_S)
-            if told is None or told.done.kind or self.now() >= began + OVERTAKEN_US:
+            if told is None or told.WhichOneof("body") != "done" or told.done.kind:
+                return told
+            if self.now() >= began + OVERTAKEN_US:
                 return None
             passed.evacuate.after = told.done.number
         return await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
