--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -45,7 +45,7 @@
 )
 from .primary import Primary
 from .progress import Peers
-from .state import Point, at, first_record, first_state, place, voters
+from .state import Point, at, first_record, first_state, last_order, place, voters
 from .voter import Voter
 from .witness import Witness
 
@@ -176,6 +176,10 @@
         if self.recovery is not None:
             self.recovery.seeds = self.seeds
 
+    def last_evacuation(self, zone: str) -> int:
+        """Number of the zone's last order, as far as it has been taken here."""
+        return last_order(self.memory.state, zone)
+
     # -- inputs --------------------------------------------------------------------------------
 
     def handle(self, now: int, event: Input) -> list[Output]:
--- a/vetchusher/emulator/system/judge.py
+++ b/vetchusher/emulator/system/judge.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass, field
 
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.routing.headers import SUBSCRIBER
 from vetchusher.settings.node import Bounds
 
 PROMISES = (408, 421, 429, 503)
@@ -38,6 +39,10 @@
     life: int
     sent_at: int
 
+    @property
+    def target(self) -> str:
+        return f"{self.path}x"
+
 
 @dataclass(slots=True, frozen=True)
 class Place:
@@ -85,6 +90,9 @@
         self.asked: dict[str, Asked] = {}
         self.runs: dict[str, list[int]] = defaultdict(list)  # by request: when
         self.statuses: dict[str, int] = {}
+        self.answers: dict[
+            bytes, tuple[str, int]
+        ] = {}  # of servers, by their bodies: to whom, and the status
         self.arrivals: dict[str, int] = Counter()
         self.extra: dict[str, list[int]] = defaultdict(list)  # by service: arrivals beyond the first
         self.wanted: dict[str, list[int]] = defaultdict(list)  # by service: requests for it
@@ -94,6 +102,8 @@
             list
         )  # by life: when, version
         self.evacuated: dict[str, int] = {}  # by zone: acknowledged when
+        self.unsettled: dict[str, int] = Counter()  # by zone: orders of evacuation that are not acknowledged
+        self.stands: dict[str, bool | None] = {}  # by zone: what was ordered last; None: two at a time were
         self.platform_well: int | None = 0  # since when; None: it is not
 
     def say(self, rule: str, what: str) -> None:
@@ -123,6 +133,22 @@
         if number is None or number < self.floor(self.at):
             self.say("LOST", f"r{number} was read at the end, r{self.floor(self.at)} had been acknowledged")
 
+    def orders(self, zone: str, on: bool) -> None:
+        self.unsettled[zone] += 1
+        self.stands[zone] = on if self.unsettled[zone] == 1 else None
+
+    def settled(self, zone: str) -> None:
+        """The order is acknowledged."""
+        self.unsettled[zone] -= 1
+
+    def evacuations(self, in_force: Mapping[str, bool]) -> None:
+        """At the end: of orders to a zone that were given one after the other, the last one stands."""
+        for zone, on in self.stands.items():
+            if on is not None and not self.unsettled[zone] and in_force.get(zone, False) != on:
+                self.say(
+                    "LOST", f"{zone} is {'not ' if on else ''}evacuated, the opposite was acknowledged last"
+                )
+
     # -- clients and servers --------------------------------------------------------------------
 
     def asks(self, asked: Asked) -> None:
@@ -165,6 +191,18 @@
             self.say("ROUTE", f"{asked.path} by {asked.ingress} at {place.service}")
         self.handled(asked, allowed, f"run by {place.service}")
 
+    def reaches(self, asked: Asked | None, id: str, target: str, headers: Mapping[str, str]) -> None:
+        """What a server was sent: a request of a client, and as that client sent it."""
+        if asked is None or target != asked.target:
+            self.say("UNASKED", f"{target} under {id}")
+        elif "Authorization" in headers or headers.get(SUBSCRIBER) != asked.tenant:
+            self.say("UNASKED", f"{target} of {asked.tenant}, under another name or with its key")
+
+    def delivered(self, asked: Asked, status: int, answer: bytes) -> None:
+        """What a client got of a server."""
+        if self.answers.get(answer) != (asked.id, status):
+            self.say("MIXED", f"{asked.path} by {asked.ingress} got {status}, {self.answers.get(answer)} was")
+
     def answered(self, asked: Asked, status: int) -> None:
         self.statuses[asked.id] = status
         if not asked.repeatable and status in PROMISES and self.runs[asked.id]:
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 import contextlib
+import dataclasses
 from collections.abc import Iterator
 from typing import Any
 from unittest import mock
 
 from returns.result import Failure, Result, Success
 
+from vetchusher.control import SetEvacuation
+from vetchusher.control import state as control_state
 from vetchusher.discovery import reader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import NEVER, Source, Told
@@ -17,11 +20,13 @@
 from vetchusher.limits.tally import Tally
 from vetchusher.limits.tries import ExtraTries
 from vetchusher.node import control_node, edge_node, operator_api, proxy
-from vetchusher.routing import choice, claims, request
+from vetchusher.routing import choice, claims, headers, request
 
 from . import world
 
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
+REAL_OVER = proxy.Flow.over
+REAL_EVACUATED = control_state.evacuated
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
 REAL_IN_FORCE = Subscriber._in_force
 LONG = 1 << 61
@@ -48,6 +53,19 @@
     return [SendPull(ip, self.pulls, wire.Pull(vector=nothing))]
 
 
+def evacuates_at_any_time(state: wire.ControlState, order: SetEvacuation) -> Any:
+    return REAL_EVACUATED(state, dataclasses.replace(order, after=None))
+
+
+def takes_the_answer_before(self: proxy.Flow, number: int, seen: claims.Seen, prompt: bool, got: Any) -> None:
+    """As if whatever lies on a connection were the answer."""
+    waiting = vars(self.front).setdefault("waiting", [])
+    if got is not None:
+        waiting.append(got)
+        got = waiting.pop(0) if len(waiting) > 1 else got
+    REAL_OVER(self, number, seen, prompt, got)
+
+
 def keeps_the_drained(self: choice.Choice) -> None:
     REAL_PLACE(self)
     for standing in self.standings.values():
@@ -93,6 +111,10 @@
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
     "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
+    "answers are not told by their ids": ((proxy.Flow, "over", takes_the_answer_before),),
+    "keys go along to servers": (
+        (request, "passed_on", lambda given, keyed: headers.passed_on(given, keyed=False)),
+    ),
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
     "a reading leaves whatever came meanwhile": (
@@ -105,6 +127,8 @@
     "a late vector lowers what was told": ((Subscriber, "_in_force", takes_any_vector),),
     "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
     "a cut-off machine vouches": ((control_node.ControlNode, "in_force", lambda self, now: True),),
+    "an order of evacuation bears no number": ((control_state, "evacuated", evacuates_at_any_time),),
+    "what was held up is passed on": ((control_node, "OVERTAKEN_US", 1 << 61),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
 }
 
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -26,7 +26,7 @@
 from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
 from vetchusher.node import operator_api
-from vetchusher.node.attempts import Matter
+from vetchusher.node.attempts import Got, Matter
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import Paths
@@ -426,16 +426,19 @@
             ("Authorization", f"Bearer key-{asked.tenant}"),
         ]
         front = part.front
-        judged = judge(front.ground, Head("POST", f"{asked.path}x", headers, front.now()))
+        judged = judge(front.ground, Head("POST", asked.target, headers, front.now()))
         if isinstance(judged, Failure):
             self.answered(asked, judged.failure().status, then)
             return
         way = judged.unwrap()
-        flow = Flow(front, way, Matter("POST", f"{asked.path}x", [], asked.id.encode()))
+        flow = Flow(front, way, Matter("POST", asked.target, [], asked.id.encode()))
 
         async def serve() -> None:
             flow.start()
             answer = await flow.answer
+            if isinstance(answer, Got):
+                assert isinstance(answer.body, bytes)
+                self.judge.delivered(asked, answer.status, answer.body)
             self.answered(asked, answer.status, then)
             flow.close(True)
 
@@ -526,8 +529,10 @@
     def evacuate(self, zone: str, on: bool, then: Callable[[], None] = lambda: None) -> None:
         if not on:
             self.judge.evacuated.pop(zone, None)
+        self.judge.orders(zone, on)
 
         def done(_: operator_api.Answer) -> None:
+            self.judge.settled(zone)
             if on:
                 self.judge.evacuated[zone] = self.clock.at
             then()
@@ -547,6 +552,9 @@
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
         self.judge.read_back(came[0] if came else None)
+        part = self.machines[self.primary()].part if self.primary() else None
+        if isinstance(part, ControlNode):
+            self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
 
     # -- a run -----------------------------------------------------------------------------------
 
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -27,6 +27,7 @@
 from . import operator_api
 from .applying import Applying
 from .following import Following
+from .lives import Lives
 from .paths import Channel, Paths
 from .persistence import Persister
 from .platform import Platform
@@ -40,6 +41,7 @@
 PASSED_READING_US = 1_000_000  # since it was passed on: what came of it is given out no later
 NAMED_US = 1_000_000  # since ingresses were looked up: the same of the directory's answers
 LATE_SEND_US = 500_000  # since it was decided: what was not sent by then is not sent at all
+OVERTAKEN_US = 900_000  # since it came: an order that bears no number is passed on no later
 MOST_WATCHERS = 2048
 ASK_AGAIN_US = 300_000  # told to whoever asked while no primary answered
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
@@ -57,6 +59,10 @@
     return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
 
 
+def evacuation_of(asked: wire.Evacuate) -> control.SetEvacuation:
+    return control.SetEvacuation(asked.zone, asked.on, asked.after if asked.HasField("after") else None)
+
+
 class ControlNode:
     def __init__(
         self,
@@ -101,6 +107,7 @@
         self.telling = Publisher(self.sources)
         self.applying = Applying(loop, self.reading, self.tell_state, note)
         self.configuration: Configuration | None = None
+        self.lives = Lives()
         self.watchers: dict[str, Channel] = {}  # by ip: to whom a grown vector is told unasked
         self.orders: dict[int, asyncio.Future[Result[bytes, Fault]]] = {}
         self.next_order = 1
@@ -161,6 +168,8 @@
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
+        if self.overtaken(frame, channel):
+            return
         if kind == "control":
             heard = control.Received(frame.sender, frame.zone, frame.control)
             if frame.control.WhichOneof("kind") in LETTERS:
@@ -192,6 +201,15 @@
         elif kind == "heartbeat_reply":
             self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
 
+    def overtaken(self, frame: wire.Frame, channel: Channel) -> bool:
+        """Whether a later life of the process that wrote this has been heard.
+
+        Danger: it speaks of a disk that may be lost since, and of an ingress that has ended.
+        """
+        kind = frame.WhichOneof("body")
+        life = {"control": frame.control.life, "heartbeat": frame.heartbeat.life}.get(kind or "", 0)
+        return not self.lives.current(kind or "", frame.sender, life, channel.number)
+
     def heard(self) -> wire.HeartbeatReply:
         now = self.now()
         return wire.HeartbeatReply(
@@ -288,13 +306,31 @@
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
             return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
-        answer = await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+        answer = await self.ask_primary(primary, passed)
         if answer is None or answer.WhichOneof("body") != "done":
             return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", ASK_AGAIN_US))
         if answer.done.kind:
             return Failure(passed_on(answer.done))
         return Success(answer.done.body)
 
+    async def ask_primary(self, primary: str, passed: wire.OrderAsked) -> wire.Frame | None:
+        """Its answer to an order passed on; an evacuation goes with the number of the zone's last order.
+
+        Danger: its caller may have given the same order elsewhere by now, and others since.  Held up here, it
+        is dropped; on its way, refused by the number.
+        """
+        began = self.now()
+        if passed.HasField("evacuate"):
+            asked = wire.EvacuationNumberAsked(zone=passed.evacuate.zone)
+            frame = wire.Frame(order=wire.OrderAsked(evacuation_number=asked))
+            told = await self.paths.ask(primary, frame, PASS_ON_S)
+            if told is None or told.WhichOneof("body") != "done" or told.done.kind:
+                return told
+            if self.now() >= began + OVERTAKEN_US:
+                return None
+            passed.evacuate.after = told.done.number
+        return await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+
     async def submit(self, order: control.Order) -> Result[bytes, Fault]:
         number, self.next_order = self.next_order, self.next_order + 1
         future: asyncio.Future[Result[bytes, Fault]] = self.loop.create_future()
@@ -313,7 +349,12 @@
 
     async def settle_for(self, frame: wire.Frame, channel: Channel) -> None:
         """An order that another core machine passed on: settled here or not at all."""
-        outcome = await self.settle_passed(frame.order)
+        asked = frame.order
+        if asked.HasField("evacuation_number") and self.member.holds(self.now()):
+            number = self.member.last_evacuation(asked.evacuation_number.zone)
+            channel.reply(frame, wire.Frame(done=wire.OrderDone(number=number)))
+            return
+        outcome = await self.settle_passed(asked)
         done = wire.OrderDone()
         match outcome:
             case Success(body):
@@ -336,8 +377,8 @@
             case "retrieve":
                 return (await self.decide_here(control.Retrieve())).leaving()
             case "evacuate":
-                order_ = control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on)
-                return acknowledged(await self.decide_here(order_), b"").leaving()
+                evacuation = evacuation_of(asked.evacuate)
+                return acknowledged(await self.decide_here(evacuation), b"").leaving()
         return Failure(Fault(Kind.NOT_SETTLED, "no such order"))
 
     # -- time -----------------------------------------------------------------------------------
