--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -28,7 +28,7 @@
 from vetchusher.fields import FieldError
 from vetchusher.kinds import Kind
 from vetchusher.node import cli, log, reading
-from vetchusher.settings import compiled, compiling, node
+from vetchusher.settings import compiled, compiling, node, schemas
 from vetchusher.settings.configuration import read_configuration
 from vetchusher.settings.document import misfit
 from vetchusher.settings.node import node_of, read_node
@@ -268,7 +268,7 @@
     @given(st.sampled_from(places(TREE)), values())
     def test_a_configuration(self, path, value):
         tree = changed(path, value)
-        allowed = misfit(tree, compiled.HERE / "configuration.schema.json")
+        allowed = misfit(tree, schemas.HERE / "configuration.schema.json")
         outcome = read_configuration(json.dumps(tree).encode())
         if is_successful(outcome):
             self.assertThat(allowed, Equals(None))
@@ -280,7 +280,7 @@
     @given(st.sampled_from(places(tomllib.loads(NODE))), values().filter(lambda v: v is not None))
     def test_settings(self, path, value):
         tree = changed(path, value, tomllib.loads(NODE))
-        outcome, allowed = node_of(tree), misfit(tree, compiled.HERE / "node.schema.json")
+        outcome, allowed = node_of(tree), misfit(tree, schemas.HERE / "node.schema.json")
         if is_successful(outcome):
             self.assertThat(allowed, Equals(None))
         elif allowed is None:  # only what no schema can say
--- a/vetchusher/settings/compiled.py
+++ b/vetchusher/settings/compiled.py
@@ -11,30 +11,16 @@
 from __future__ import annotations
 
 import functools
-import hashlib
 import importlib
-import pathlib
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 from vetchusher.fields import FieldError, shown
 
-HERE = pathlib.Path(__file__).parent
-PACKAGE = "vetchusher_forms"  # of the code that the build writes down
-SAID = {"number": "number", "integer": "whole number", "string": "text", "array": "list", "object": "object"}
-
-
-class Misfit(ValueError):
-    """A value that a schema does not allow, as the compiled code raises it.
-
-    :param name: its place
-    :param definition: number of the part of the schema that holds the rule
-    """
+from .schemas import PACKAGE, Misfit, digest, schema_of
 
-    def __init__(self, value: Any, name: str, definition: int, rule: str) -> None:
-        super().__init__(name)
-        self.value, self.name, self.definition, self.rule = value, name, definition, rule
+SAID = {"number": "number", "integer": "whole number", "string": "text", "array": "list", "object": "object"}
 
 
 @dataclass(slots=True, frozen=True)
@@ -94,11 +80,3 @@
         found = {}
         exec(compile(source_of(schema), name, "exec"), found)
     return Form(found["NAMES"], found["DEFINITIONS"], found["validate"])
-
-
-def digest(schema: bytes) -> str:
-    return hashlib.blake2b(schema, digest_size=16).hexdigest()
-
-
-def schema_of(name: str) -> bytes:
-    return (HERE / f"{name}.schema.json").read_bytes()
--- a/vetchusher/settings/compiling.py
+++ b/vetchusher/settings/compiling.py
@@ -15,7 +15,7 @@
 
 from fastjsonschema import compile_to_code
 
-from .compiled import PACKAGE, Misfit, digest, schema_of
+from .schemas import PACKAGE, Misfit, digest, schema_of
 
 FORMS = ("node", "configuration")
 # What a refusal may have to say of a rule; of the rest of a definition the code keeps nothing.
@@ -67,7 +67,7 @@
     def visit_ImportFrom(self, node: ast.ImportFrom) -> ast.AST | None:
         if node.module != "fastjsonschema":
             return None if node.module == "decimal" else node
-        return ast.ImportFrom("vetchusher.settings.compiled", [ast.alias(Misfit.__name__)], 0)
+        return ast.ImportFrom("vetchusher.settings.schemas", [ast.alias(Misfit.__name__)], 0)
 
     def visit_Name(self, node: ast.Name) -> ast.AST:
         return ast.Name(Misfit.__name__ if node.id.startswith("JsonSchemaValue") else node.id, node.ctx)
