--- a/benchmarks/loop_stalls.py
+++ b/benchmarks/loop_stalls.py
@@ -32,7 +32,7 @@
 import uvloop
 from docopt import docopt
 
-from vetchusher.emulator.system.local import Apiary, Machine, first_configuration
+from vetchusher.emulator.system.local import LocalSystem, Machine, first_configuration
 
 WAKE_S = 0.001
 LEAST_S = 0.002  # shorter gaps are not noted
@@ -88,7 +88,7 @@
 # -- in the one that measures -------------------------------------------------------------------------
 
 
-class Watched(Apiary):
+class Watched(LocalSystem):
     def command(self, machine: Machine) -> Sequence[str]:
         files = str(machine.settings), str(machine.folder / "gaps")
         return sys.executable, "-m", "benchmarks.loop_stalls", "watched", *files
@@ -128,10 +128,10 @@
     """Longest gaps (s) by kind of phase and of process."""
     found: dict[tuple[str, str], list[float]] = defaultdict(list)
     with tempfile.TemporaryDirectory(prefix="stalls-") as place:
-        apiary = Watched(pathlib.Path(place))
-        async with apiary:
-            await apiary.configure(first_configuration())
-            await apiary.until_serving(apiary.edge)
+        system = Watched(pathlib.Path(place))
+        async with system:
+            await system.configure(first_configuration())
+            await system.until_serving(system.edge)
             version = 1
             for number in range(times):
                 for kind in KINDS:
@@ -140,16 +140,16 @@
                         version += 1
                         like, changed = (version, -1) if kind == "all new" else (version - 1, number)
                         body = configuration(routes, version, like, changed)
-                        await apiary.order("POST", "/configuration/replace", body)
-                        await apiary.until_in_force(version)
+                        await system.order("POST", "/configuration/replace", body)
+                        await system.until_in_force(version)
                     await asyncio.sleep(AFTER_S)
-                    end, primary = time.monotonic(), apiary.primary()
+                    end, primary = time.monotonic(), system.primary()
                     for role, machines in (
-                        ("primary", [m for m in apiary.core if m is primary]),
-                        ("other core", [m for m in apiary.core if m is not primary]),
-                        ("ingress", apiary.edge),
+                        ("primary", [m for m in system.core if m is primary]),
+                        ("other core", [m for m in system.core if m is not primary]),
+                        ("ingress", system.edge),
                     ):
-                        gaps = [apiary.worst(m, begin, end) for m in machines]
+                        gaps = [system.worst(m, begin, end) for m in machines]
                         found[kind, role].append(max(gaps, default=0.0))
     return found
 
--- a/tests/test_local_system.py
+++ b/tests/test_local_system.py
@@ -18,7 +18,7 @@
 
 from vetchusher.discovery.reader import Listed
 from vetchusher.emulator.outside.platform import PlatformStandIn
-from vetchusher.emulator.system.local import FRONT, Apiary, first_configuration
+from vetchusher.emulator.system.local import FRONT, LocalSystem, first_configuration
 from vetchusher.events import Event
 from vetchusher.node.platform import Platform
 from vetchusher.settings.node import Bounds, CloudApi
@@ -31,53 +31,53 @@
     return tree
 
 
-class ApiaryTest(TestCase):
+class LocalSystemTest(TestCase):
     def play(self, script, **bounds):
         """Run the script with a system that serves its first configuration; none may print a traceback."""
 
         async def run():
             with tempfile.TemporaryDirectory() as folder:
-                async with Apiary(pathlib.Path(folder), replace(Bounds(), **bounds)) as apiary:
-                    await apiary.configure(first_configuration())
-                    await apiary.until_serving(apiary.edge)
-                    await script(apiary)
-                    for machine in apiary.machines.values():
+                async with LocalSystem(pathlib.Path(folder), replace(Bounds(), **bounds)) as system:
+                    await system.configure(first_configuration())
+                    await system.until_serving(system.edge)
+                    await script(system)
+                    for machine in system.machines.values():
                         self.assertNotIn("Traceback", machine.log)
 
         asyncio.run(run())
 
-    async def holds(self, apiary, tree, path):
+    async def holds(self, system, tree, path):
         """What was sent is read back from every running core machine, and served at every running ingress."""
-        for edge in (one for one in apiary.edge if one.running):
+        for edge in (one for one in system.edge if one.running):
             front = edge.at(FRONT)
-            await apiary.until(lambda front=front: apiary.served(front, path), f"{path} at {edge.name}")
-        for machine in (one for one in apiary.core if one.running):
+            await system.until(lambda front=front: system.served(front, path), f"{path} at {edge.name}")
+        for machine in (one for one in system.core if one.running):
 
             async def retrieved(machine=machine):
-                answer = await apiary.read_back(machine)
+                answer = await system.read_back(machine)
                 return answer if answer is not None and answer.status == 200 else None
 
-            answer = await apiary.until(retrieved, f"{machine.name} reads back")
+            answer = await system.until(retrieved, f"{machine.name} reads back")
             self.assertThat(json.loads(answer.body), Equals(tree))
 
     def test_what_is_acknowledged_holds_though_the_primary_dies_and_an_ingress_leaves(self):
-        async def script(apiary):
-            await self.holds(apiary, first_configuration(), "/wax/a")
-            first = await apiary.until_settled()
-            await apiary.kill(first.name)
+        async def script(system):
+            await self.holds(system, first_configuration(), "/images/a")
+            first = await system.until_settled()
+            await system.kill(first.name)
             began = time.monotonic()
-            await apiary.configure(second_configuration())
+            await system.configure(second_configuration())
             took_ms = (time.monotonic() - began) * 1e3
-            self.assertLess(took_ms, apiary.bounds.ack_ms)
-            await self.holds(apiary, second_configuration(), "/late/a")
-            await apiary.start(first.name)
-            await apiary.configure(first_configuration())  # an older one changes nothing
-            await self.holds(apiary, second_configuration(), "/late/b")
-            await self.leaves(apiary, *apiary.edge)
+            self.assertLess(took_ms, system.bounds.ack_ms)
+            await self.holds(system, second_configuration(), "/late/a")
+            await system.start(first.name)
+            await system.configure(first_configuration())  # an older one changes nothing
+            await self.holds(system, second_configuration(), "/late/b")
+            await self.leaves(system, *system.edge)
 
         self.play(script, grace_s=30.0)
 
-    async def leaves(self, apiary, leaving, staying):
+    async def leaves(self, system, leaving, staying):
         """An ingress leaves the directory first, serves who comes by older answers, finishes what it took.
 
         leaving   slow request begins ... SIGTERM .................. a new client ........ both answered, end
@@ -85,44 +85,44 @@
         server    at work .............................................................. released
         """
         released = asyncio.Event()
-        for server in apiary.servers:
+        for server in system.servers:
             server.held = released
-        slow = asyncio.create_task(apiary.ask(leaving.at(FRONT), "/wax/slow", 60_000))
+        slow = asyncio.create_task(system.ask(leaving.at(FRONT), "/images/slow", 60_000))
 
         async def at_work(count=1):
-            return sum(server.at_work for server in apiary.servers) == count
+            return sum(server.at_work for server in system.servers) == count
 
-        await apiary.until(at_work, "a server works on it")
-        end = asyncio.create_task(apiary.stop(leaving.name))
-        await apiary.until_serving([staying])
-        late = asyncio.create_task(apiary.ask(leaving.at(FRONT), "/wax/late", 60_000))
-        await apiary.until(lambda: at_work(2), "a server works on the late one")
+        await system.until(at_work, "a server works on it")
+        end = asyncio.create_task(system.stop(leaving.name))
+        await system.until_serving([staying])
+        late = asyncio.create_task(system.ask(leaving.at(FRONT), "/images/late", 60_000))
+        await system.until(lambda: at_work(2), "a server works on the late one")
         released.set()
         for answer in (await slow, await late):
-            self.assertThat((answer.status, answer.body), Equals((200, apiary.servers[0].body)))
+            self.assertThat((answer.status, answer.body), Equals((200, system.servers[0].body)))
             self.assertThat(answer.headers["connection"], Equals("close"))
         self.assertThat(await end, Equals(0))
 
     def test_nothing_is_lost_when_all_restart_even_with_a_wiped_disk(self):
-        async def script(apiary):
-            evacuated = [server for server in apiary.servers if server.zone == "delta-a"]
-            await apiary.order("POST", "/evacuation/delta-a/initiate")
-            await apiary.configure(second_configuration())
-            await asyncio.gather(*map(apiary.kill, apiary.machines))
-            await asyncio.gather(*map(apiary.start, apiary.machines))
-            await apiary.until_serving(apiary.edge)
-            await self.holds(apiary, second_configuration(), "/late/a")
-            wiped = await apiary.until_settled()
-            core = [one.name for one in apiary.core]
-            await asyncio.gather(*map(apiary.kill, core))
-            apiary.wipe(wiped.name)
-            await asyncio.gather(*map(apiary.start, core))
-            await self.holds(apiary, second_configuration(), "/late/b")
+        async def script(system):
+            evacuated = [server for server in system.servers if server.zone == "delta-a"]
+            await system.order("POST", "/evacuation/delta-a/initiate")
+            await system.configure(second_configuration())
+            await asyncio.gather(*map(system.kill, system.machines))
+            await asyncio.gather(*map(system.start, system.machines))
+            await system.until_serving(system.edge)
+            await self.holds(system, second_configuration(), "/late/a")
+            wiped = await system.until_settled()
+            core = [one.name for one in system.core]
+            await asyncio.gather(*map(system.kill, core))
+            system.wipe(wiped.name)
+            await asyncio.gather(*map(system.start, core))
+            await self.holds(system, second_configuration(), "/late/b")
 
             async def remembered():
                 return f" {Event.RECOVERED:d} " in wiped.log
 
-            await apiary.until(remembered, "the wiped one remembers")
+            await system.until(remembered, "the wiped one remembers")
             self.assertIn(f" {Event.AMNESIAC:d} ", wiped.log)
             self.assertThat(
                 evacuated, AllMatch(AfterPreprocessing(lambda server: server.arrivals, Equals([])))
@@ -165,7 +165,7 @@
         now = 100.0
 
         def entry(number):
-            return Listed(f"i-{number}", "wax", f"127.0.0.1:{number}", "gulf-a", "v1", 3, False, 2000)
+            return Listed(f"i-{number}", "images", f"127.0.0.1:{number}", "gulf-a", "v1", 3, False, 2000)
 
         async def script():
             nonlocal now
--- a/vetchusher/emulator/system/local.py
+++ b/vetchusher/emulator/system/local.py
@@ -1,8 +1,8 @@
 """The whole system on one machine: real processes on loopback addresses, for people and for tests.
 
 Usage:
-  apiary [--folder FOLDER]
-  apiary (-h | --help)
+  local [--folder FOLDER]
+  local (-h | --help)
 
 Starts two ingresses, three core machines with disks, the platform's list and the servers of two services;
 sends a configuration, asks the directory for an ingress, has it serve a request, and stays up until Ctrl-C.
@@ -47,9 +47,9 @@
 CORE = ("gulf-a", "gulf-a", "delta-a")  # where the core machines stand
 EDGE = ("gulf-a", "delta-a")
 SEEDS = 3  # core machines that every settings file names
-SERVICES = ("honey", "wax")
-HOST = "hive.example"
-KEY = "queen-key"
+SERVICES = ("catalog", "images")
+HOST = "service.example"
+KEY = "example-key"
 # Below the ports that the kernel hands out: no connection of anybody's may come to stand on one of these.
 INTERNAL, FRONT, READY, CONTROL, DIRECTORY, LIST, SERVER = (
     17_560,
@@ -69,7 +69,7 @@
 
 
 def claim_net(rng: random.Random) -> tuple[str, socket.socket]:
-    """A network 127.x.y. that no other apiary of this machine uses, as long as the socket is held."""
+    """A network 127.x.y. that no other local system on this machine uses, as long as the socket is held."""
     for _ in range(NETS):
         net = f"127.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}."
         held = socket.socket()
@@ -131,7 +131,7 @@
         return f"{self.ip}:{port}"
 
 
-class Apiary:
+class LocalSystem:
     """Owner of all processes and stand-ins: what `open` and `start` begin, `close` ends.
 
     :param folder: of settings, disks and logs
@@ -165,7 +165,7 @@
     def machine(self, name: str, last: int, zone: str, core: bool) -> Machine:
         return Machine(name, f"{self.net}{last}", zone, self.folder / name, core)
 
-    async def __aenter__(self) -> Apiary:
+    async def __aenter__(self) -> LocalSystem:
         try:
             await self.open()
         except BaseException:
@@ -187,7 +187,7 @@
             await server.open()
         self.show_servers()
         await asyncio.gather(*(self.start(name) for name in self.machines))
-        # Danger: a disk that is empty later has forgotten what it promised; it must not be taken for new.
+        # Danger: a disk that is empty later has lost what it promised; it must not be taken for new.
         self.first_start = False
 
     async def close(self, ordered: bool = False) -> None:
@@ -404,6 +404,9 @@
         await self.until(look, f"{[e.name for e in edges]} serve, and the directory names them")
 
 
+Apiary = LocalSystem  # the former name, by which emulator/control/process_rig.py still imports it
+
+
 def first_configuration(version: int = 1) -> dict[str, Any]:
     """A route a service, each for `HOST` below the service's name, and one tenant, whose key is `KEY`."""
     return {
@@ -423,7 +426,7 @@
         "services": [{"name": service, "cold_s": 3.0, "cold_rate_s": 10.0} for service in SERVICES],
         "limits": {"header_bytes": 16_384, "body_bytes": 1 << 20, "header_ms": 3_000, "idle_ms": 15_000},
         "subscribers": [
-            {"name": "queen", "credentials": [KEY], "priority": 1, "rate_per_s": 500, "burst_size": 500}
+            {"name": "tenant-1", "credentials": [KEY], "priority": 1, "rate_per_s": 500, "burst_size": 500}
         ],
     }
 
@@ -431,13 +434,13 @@
 # -- for people -------------------------------------------------------------------------------------
 
 
-async def show(apiary: Apiary) -> None:
+async def show(system: LocalSystem) -> None:
     """Start it, and show a first configuration, a resolution and a request."""
-    await apiary.open()
-    print(f"list       http://{apiary.platform.host}:{LIST}/instances")
-    for server in apiary.servers:
-        print(f"server     {server.service:6} {server.zone:8} {server.host}:{SERVER} {server.instance}")
-    for machine in apiary.machines.values():
+    await system.open()
+    print(f"list       http://{system.platform.host}:{LIST}/instances")
+    for server in system.servers:
+        print(f"server     {server.service:8} {server.zone:8} {server.host}:{SERVER} {server.instance}")
+    for machine in system.machines.values():
         doors = (
             f"control http://{machine.at(CONTROL)} directory http://{machine.at(DIRECTORY)}"
             if machine.core
@@ -445,27 +448,27 @@
         )
         pid = machine.process.pid if machine.process is not None else 0
         print(f"{machine.name:10} {machine.zone:8} pid {pid} {doors}")
-    print(f"files      {apiary.folder}: settings, disks and a log for each", flush=True)
-    by = await apiary.configure(first_configuration())
+    print(f"files      {system.folder}: settings, disks and a log for each", flush=True)
+    by = await system.configure(first_configuration())
     print(f"configured r1 at {by.name}", flush=True)
-    await apiary.until_serving(apiary.edge)
+    await system.until_serving(system.edge)
     zone = EDGE[0]
-    fronts = await apiary.until(lambda: apiary.resolve(zone), "the directory answers")
+    fronts = await system.until(lambda: system.resolve(zone), "the directory answers")
     print(f"resolved   {HOST} for {zone}: {', '.join(fronts)}")
     path = f"/{SERVICES[0]}/first"
-    answer = await apiary.until(lambda: apiary.served(fronts[0], path), "a request is served")
+    answer = await system.until(lambda: system.served(fronts[0], path), "a request is served")
     print(f"asked      GET {path} at {fronts[0]}: {answer.status}, {answer.body!r}")
     print("up; Ctrl-C ends it", flush=True)
 
 
-async def keep_up(apiary: Apiary) -> None:
+async def keep_up(system: LocalSystem) -> None:
     """Start again what ends, as the platform does, until cancelled."""
     while True:
         await asyncio.sleep(AGAIN_S)
-        for machine in apiary.machines.values():
+        for machine in system.machines.values():
             if not machine.running and machine.process is not None:
                 code = machine.process.returncode
-                await apiary.start(machine.name)
+                await system.start(machine.name)
                 print(f"{machine.name} ended ({code}); started again, pid {machine.process.pid}", flush=True)
 
 
@@ -476,16 +479,16 @@
         loop.add_signal_handler(number, stop.set)
 
     async def up() -> None:
-        await show(apiary)
-        await keep_up(apiary)
+        await show(system)
+        await keep_up(system)
 
     # Answers of the directory that run out soon: an ingress that is told to end waits for that.
-    apiary = Apiary(folder, Bounds(ttl_max_s=0.5))
+    system = LocalSystem(folder, Bounds(ttl_max_s=0.5))
     tasks = loop.create_task(up()), loop.create_task(stop.wait())
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         if tasks[0] in done:
-            print(f"apiary: {tasks[0].exception()}", file=sys.stderr)
+            print(f"local: {tasks[0].exception()}", file=sys.stderr)
             return 1
         print("ending", flush=True)
         return 0
@@ -493,7 +496,7 @@
         for task in tasks:
             task.cancel()
         await asyncio.wait(tasks)
-        await apiary.close(ordered=True)
+        await system.close(ordered=True)
 
 
 def main(argv: Sequence[str]) -> int:
@@ -501,10 +504,10 @@
     if told["--folder"]:
         place = pathlib.Path(told["--folder"]).resolve()
         if place.exists() and (not place.is_dir() or any(place.iterdir())):
-            print(f"apiary: {place} is no empty folder", file=sys.stderr)
+            print(f"local: {place} is no empty folder", file=sys.stderr)
             return 2
         return asyncio.run(stay(place))
-    with tempfile.TemporaryDirectory(prefix="apiary-") as folder:
+    with tempfile.TemporaryDirectory(prefix="vetchusher-") as folder:
         return asyncio.run(stay(pathlib.Path(folder)))
 
 
