--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -11,7 +11,7 @@
 
 Options:
   --seeds N      Runs of each row [default: 28].
-  --ingresses N  Ingresses of the tier [default: 3].
+  --ingresses N  Ingresses of the cluster [default: 3].
   --firms N      Member firms [default: 48].
   --rows LIST    Names of rows, with commas between them; without it, all.
   --wrong-views  Each ingress is told another drawn view of who lives, each second (virtual time only).
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -10,12 +10,12 @@
   duties (-h | --help)
 
 Options:
-  --rounds N   Times that each kind of fault is played in each tier [default: 2].
+  --rounds N   Times that each kind of fault is played in each cluster [default: 2].
   --runs N     Runs in virtual time [default: 100].
   --seed N     The first seed [default: 1].
   --length S   Seconds of a run in virtual time [default: 300].
   --seconds S  That idle processes are watched for [default: 20].
-  --members N  Processes of a tier [default: 5].
+  --members N  Processes of a cluster [default: 5].
   --voters N   Of them, voters [default: 3].
   --lease MS   The lease [default: 600].
   --states N   States that all interleavings are followed to [default: 200000].
@@ -38,7 +38,7 @@
 
 from vetchusher.emulator.duties.explorer import STARTS, explore, wander
 from vetchusher.emulator.duties.mutations import PLANTED, planted
-from vetchusher.emulator.duties.rig import FAULTS, Outcome, Tier
+from vetchusher.emulator.duties.rig import FAULTS, Cluster, Outcome
 from vetchusher.emulator.duties.world import Found, Scene, World
 from vetchusher.emulator.explorer import Explored
 from vetchusher.emulator.fleet_world import SECOND
@@ -57,22 +57,22 @@
     kinds = list(FAULTS) * rounds
     rng.shuffle(kinds)
 
-    async def script(tier: Tier) -> None:
-        await tier.until_held()
+    async def script(cluster: Cluster) -> None:
+        await cluster.until_held()
         for number, kind in enumerate(kinds):
             if number % 3 == 2:  # a pair: the second begins while the first lasts
-                await asyncio.gather(tier.fault(kind), tier.fault(rng.choice(list(FAULTS))))
+                await asyncio.gather(cluster.fault(kind), cluster.fault(rng.choice(list(FAULTS))))
             else:
-                await tier.fault(kind)
-            for n in range(tier.members):
-                if not tier.processes.alive(n):
-                    await tier.start(n)
-            await tier.until_held()
-            await tier.last(rng.uniform(0.2, 1.5))
+                await cluster.fault(kind)
+            for n in range(cluster.members):
+                if not cluster.processes.alive(n):
+                    await cluster.start(n)
+            await cluster.until_held()
+            await cluster.last(rng.uniform(0.2, 1.5))
 
     with tempfile.TemporaryDirectory() as folder:
-        tier = Tier(pathlib.Path(folder), members, voters, lease_ms, seed=seed)
-        return asyncio.run(tier.run(script))
+        cluster = Cluster(pathlib.Path(folder), members, voters, lease_ms, seed=seed)
+        return asyncio.run(cluster.run(script))
 
 
 def processes_table(told: dict[str, str]) -> list[str]:
@@ -205,11 +205,11 @@
     return lines + [f"| {name} | {how} | {count} |" for name, how, count in rows]
 
 
-def cpu_of(tier: Tier) -> float:
-    """Seconds of CPU that the tier's processes have used."""
+def cpu_of(cluster: Cluster) -> float:
+    """Seconds of CPU that the cluster's processes have used."""
     ticks = 0
-    for number in range(tier.members):
-        for process in tier.processes.alive(number):
+    for number in range(cluster.members):
+        for process in cluster.processes.alive(number):
             fields = pathlib.Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
             ticks += int(fields[11]) + int(fields[12])
     return ticks / os.sysconf("SC_CLK_TCK")
@@ -219,22 +219,22 @@
     """CPU a second of one idle process, and megabytes it holds."""
     seconds, used = float(told["--seconds"]), [0.0, 0.0]
 
-    async def script(tier: Tier) -> None:
+    async def script(cluster: Cluster) -> None:
         await asyncio.sleep(4.0)
-        before = cpu_of(tier)
+        before = cpu_of(cluster)
         await asyncio.sleep(seconds)
-        used[0] = (cpu_of(tier) - before) / seconds / tier.members
+        used[0] = (cpu_of(cluster) - before) / seconds / cluster.members
         statuses = (
-            pathlib.Path(f"/proc/{tier.processes.alive(n)[0].pid}/status") for n in range(tier.members)
+            pathlib.Path(f"/proc/{cluster.processes.alive(n)[0].pid}/status") for n in range(cluster.members)
         )
         used[1] = (
-            sum(int(s.read_text().split("VmRSS:")[1].split()[0]) for s in statuses) / 1024 / tier.members
+            sum(int(s.read_text().split("VmRSS:")[1].split()[0]) for s in statuses) / 1024 / cluster.members
         )
 
     with tempfile.TemporaryDirectory() as folder:
         members, lease = int(told["--members"]), int(told["--lease"])
-        tier = Tier(pathlib.Path(folder), members, 3, lease, period_s=10, shares=shares)
-        asyncio.run(tier.run(script))
+        cluster = Cluster(pathlib.Path(folder), members, 3, lease, period_s=10, shares=shares)
+        asyncio.run(cluster.run(script))
     return used[0], used[1]
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -9,13 +9,13 @@
   members (-h | --help)
 
 Options:
-  --rounds N   Times that each kind of fault is played in each tier [default: 1].
+  --rounds N   Times that each kind of fault is played in each cluster [default: 1].
   --runs N     Runs, each with a seed of its own [default: 2].
   --seed N     The first seed [default: 1].
-  --members N  Processes of a tier [default: 5].
+  --members N  Processes of a cluster [default: 5].
   --period MS  Between two probes [default: 400].
   --pause MS   How long a process may stand still [default: 800].
-  --sizes LIST  Members of a tier in virtual time, with commas [default: 5,40,200].
+  --sizes LIST  Members of a cluster in virtual time, with commas [default: 5,40,200].
   --length S   Seconds of a run in virtual time [default: 600].
   --seconds S  That idle processes are watched for [default: 20].
   --jobs N     Tiers or runs at the same time [default: 2].
@@ -37,7 +37,7 @@
 from vetchusher.emulator.fleet_world import SECOND
 from vetchusher.emulator.membership.checks import CHECKS
 from vetchusher.emulator.membership.mutations import PLANTED, planted
-from vetchusher.emulator.membership.rig import MEMBER_FAULTS, MembersTier, times
+from vetchusher.emulator.membership.rig import MEMBER_FAULTS, MembershipCluster, times
 from vetchusher.emulator.membership.world import Found, Scene, World
 
 from .duties import cpu_of, part
@@ -64,29 +64,29 @@
     rng.shuffle(kinds)
     played = Played(others=members - 1)
 
-    async def script(tier: MembersTier) -> None:
-        await tier.settle()
+    async def script(cluster: MembershipCluster) -> None:
+        await cluster.settle()
         for number, kind in enumerate(kinds):
             victim = rng.randrange(members)
             if number % 3 == 2:
                 beside = rng.choice([k for k in MEMBER_FAULTS if "killed" not in k and "cut" not in k])
                 second = (victim + 1 + rng.randrange(members - 1)) % members
-                await asyncio.gather(tier.disturb(kind, victim), tier.disturb(beside, second))
+                await asyncio.gather(cluster.disturb(kind, victim), cluster.disturb(beside, second))
             else:
-                await tier.disturb(kind, victim)
-            await tier.settle()
-        played.wrong = tier.wrong()
-        found = tier.found()
-        played.knew = times(found, tier.truth)
+                await cluster.disturb(kind, victim)
+            await cluster.settle()
+        played.wrong = cluster.wrong()
+        found = cluster.found()
+        played.knew = times(found, cluster.truth)
         for word in found:
             played.counts[word.what] = played.counts.get(word.what, 0) + 1
 
     with tempfile.TemporaryDirectory() as folder:
-        tier = MembersTier(
+        cluster = MembershipCluster(
             pathlib.Path(folder), members, seed=seed, membership={"period_ms": period, "pause_ms": pause}
         )
-        asyncio.run(tier.run(script))  # type: ignore[arg-type]
-        played.faults = tier.faults
+        asyncio.run(cluster.run(script))  # type: ignore[arg-type]
+        played.faults = cluster.faults
     return played
 
 
@@ -124,7 +124,7 @@
     return [
         *lines,
         "",
-        f"{sum(count.values())} faults in {jobs} tiers of {members}, "
+        f"{sum(count.values())} faults in {jobs} clusters of {members}, "
         f"period {period} ms, stated pause {pause} ms; "
         f"{len(knew)} killed ones known to all in time, {missed} to some only (another fault beside).",
         f"Said in the logs: {', '.join(f'{what} {n}' for what, n in said.items())}.",
@@ -262,16 +262,16 @@
     """Milliseconds of CPU a second that one idle process uses."""
     used = [0.0]
 
-    async def script(tier: MembersTier) -> None:
+    async def script(cluster: MembershipCluster) -> None:
         await asyncio.sleep(8.0)
-        before = cpu_of(tier)
+        before = cpu_of(cluster)
         await asyncio.sleep(seconds)
-        used[0] = (cpu_of(tier) - before) / seconds / members * 1000
+        used[0] = (cpu_of(cluster) - before) / seconds / members * 1000
 
     with tempfile.TemporaryDirectory() as folder:
-        tier = MembersTier(pathlib.Path(folder), members, 3, 2_000, period_s=10, shares=shares)
-        tier.membership = membership
-        asyncio.run(tier.run(script))  # type: ignore[arg-type]
+        cluster = MembershipCluster(pathlib.Path(folder), members, 3, 2_000, period_s=10, shares=shares)
+        cluster.membership = membership
+        asyncio.run(cluster.run(script))  # type: ignore[arg-type]
     return used[0]
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -7,7 +7,7 @@
 from vetchusher.datagrams import Envelope, Pace
 from vetchusher.duties import Duties, Duty, Plan, Timing, holder_of
 from vetchusher.duties.candidate import Candidate, Reason, Stage
-from vetchusher.duties.duties import Note, Tell
+from vetchusher.duties.duties import Note, SendDatagram
 from vetchusher.duties.messages import Message, Topic, read, write
 from vetchusher.duties.voter import Voter
 from vetchusher.emulator.duties.explorer import explore, wander
@@ -263,7 +263,7 @@
     drive(duties, 2 * TIMING.silence)
     for v in duties.voters:
         v.remembers = True
-    assert any(isinstance(a, Tell) for a in duties.heard(0, 1, good))
+    assert any(isinstance(a, SendDatagram) for a in duties.heard(0, 1, good))
     before = [vars(v).copy() for v in duties.voters]
     other = Envelope(1, 9, 3, 12345, key).write(Topic.ASK, good[12:])
     forged = Envelope(1, 9, 3, duties.plan.digest(), b"another key than theirs").write(Topic.ASK, good[12:33])
--- a/tests/test_duties_processes.py
+++ b/tests/test_duties_processes.py
@@ -13,7 +13,7 @@
 from vetchusher.duties import Duty, Plan, Timing
 from vetchusher.duties.engine import EngineDuties
 from vetchusher.emulator.duties.audit import Holding, gaps, holdings, wrong
-from vetchusher.emulator.duties.rig import FAULTS, SinkServer, Tier
+from vetchusher.emulator.duties.rig import FAULTS, Cluster, SinkServer
 from vetchusher.emulator.outside.etcd import Etcd, EtcdServer
 from vetchusher.emulator.rig import listen
 from vetchusher.net import cli, fleet_cli, handover, votes
@@ -26,14 +26,14 @@
 def test_one_holder_at_a_time_whatever_befalls_real_processes(tmp_path):
     """Safety by the logs, whatever the machine is busy with; that somebody holds again, without a limit."""
 
-    async def script(tier):
-        await tier.until_held()
+    async def script(cluster):
+        await cluster.until_held()
         for kind in CALM:
-            await tier.fault(kind)
-            await tier.until_held()
+            await cluster.fault(kind)
+            await cluster.until_held()
 
     async def scene():
-        return await Tier(tmp_path, lease_ms=1_000).run(script)
+        return await Cluster(tmp_path, lease_ms=1_000).run(script)
 
     outcome = run(scene())
     assert not outcome.wrong
@@ -188,25 +188,25 @@
 def test_the_rules_hold_over_an_engine_that_stalls_fails_over_and_loses_leases(tmp_path):
     engine = EtcdServer(Etcd())
 
-    async def script(tier):
-        first = await tier.until_held()
+    async def script(cluster):
+        first = await cluster.until_held()
         for kind in ("killed", "stopped 3 leases", "sigterm"):
-            await tier.fault(kind)
-            await tier.until_held()
-        holder = await tier.until_held()
+            await cluster.fault(kind)
+            await cluster.until_held()
+        holder = await cluster.until_held()
         engine.model.stalls = True  # the holder stops by itself, in time
-        while tier.holder() is not None:
-            await tier.last(0.2)
+        while cluster.holder() is not None:
+            await cluster.last(0.2)
         engine.model.stalls = False
         engine.model.compact()
-        await tier.until_held()
+        await cluster.until_held()
         engine.model.lose_leases()  # whoever holds learns it from its next keep-alive
-        await tier.last(1.0)
-        await tier.until_held()
+        await cluster.last(1.0)
+        await cluster.until_held()
         assert first is not None and holder is not None
 
     async def scene():
-        return await Tier(tmp_path, members=3, lease_ms=1_000, engine=engine).run(script)
+        return await Cluster(tmp_path, members=3, lease_ms=1_000, engine=engine).run(script)
 
     outcome = run(scene())
     early = [fault for fault in outcome.wrong if "both held" in fault]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -250,7 +250,7 @@
 # ---- ingresses together -------------------------------------------------------------
 
 
-class Tier:
+class Cluster:
     """Some ingresses, a counter that can be taken away, and datagrams carried by hand."""
 
     def __init__(self, count=2, plans=STEADY, **changed):
@@ -325,19 +325,19 @@
 
 
 @pytest.fixture
-def tier():
-    made = Tier()
+def cluster():
+    made = Cluster()
     made.passed(0, 1)
     made.passed(1, 1)
     return made
 
 
-def spend(tier, number, most=40):
+def spend(cluster, number, most=40):
     """Commands at one ingress until it refuses, with time for news after the last."""
     done = 0
-    while done < most and tier.passed(number, 1, 40 * MS):
+    while done < most and cluster.passed(number, 1, 40 * MS):
         done += 1
-    tier.run(300 * MS)
+    cluster.run(300 * MS)
     return done
 
 
@@ -345,77 +345,77 @@
 BURST = 20.0
 
 
-def allowance(tier, since):
+def allowance(cluster, since):
     """What a store that saw everything would have passed since then, had it been full."""
-    return BURST + REFILL * (tier.gates[0].now - since) / SECOND
+    return BURST + REFILL * (cluster.gates[0].now - since) / SECOND
 
 
-def test_two_ingresses_that_each_hold_the_rest_pass_it_once(tier):
-    since = tier.gates[0].now
-    tier.lose()
-    total = 2 + spend(tier, 0) + spend(tier, 1)
-    assert BURST <= total <= allowance(tier, since) + 2
+def test_two_ingresses_that_each_hold_the_rest_pass_it_once(cluster):
+    since = cluster.gates[0].now
+    cluster.lose()
+    total = 2 + spend(cluster, 0) + spend(cluster, 1)
+    assert BURST <= total <= allowance(cluster, since) + 2
 
 
-def test_two_ingresses_that_hear_nothing_pass_a_part_each(tier):
-    since = tier.gates[0].now
-    tier.through = False
-    tier.lose()
-    total = 2 + spend(tier, 0) + spend(tier, 1)
-    assert total <= allowance(tier, since) + 2
+def test_two_ingresses_that_hear_nothing_pass_a_part_each(cluster):
+    since = cluster.gates[0].now
+    cluster.through = False
+    cluster.lose()
+    total = 2 + spend(cluster, 0) + spend(cluster, 1)
+    assert total <= allowance(cluster, since) + 2
 
 
-def test_a_firm_whose_traffic_moves_during_the_loss_is_served_at_its_new_door(tier):
-    tier.lose()
-    assert tier.passed(0, 6) == 6
-    assert tier.passed(1, 8) == 8  # well inside its quota, though all of it came elsewhere so far
+def test_a_firm_whose_traffic_moves_during_the_loss_is_served_at_its_new_door(cluster):
+    cluster.lose()
+    assert cluster.passed(0, 6) == 6
+    assert cluster.passed(1, 8) == 8  # well inside its quota, though all of it came elsewhere so far
 
 
-def test_an_ingress_reborn_amid_the_loss_opens_no_second_allowance(tier):
-    since = tier.gates[0].now
-    tier.lose()
-    total = 2 + spend(tier, 1) + spend(tier, 0)
-    tier.gates[1] = tier.new(1, tier.gates[0].now)
-    tier.run(300 * MS)
-    total += spend(tier, 1)
-    assert total <= allowance(tier, since) + 2
+def test_an_ingress_reborn_amid_the_loss_opens_no_second_allowance(cluster):
+    since = cluster.gates[0].now
+    cluster.lose()
+    total = 2 + spend(cluster, 1) + spend(cluster, 0)
+    cluster.gates[1] = cluster.new(1, cluster.gates[0].now)
+    cluster.run(300 * MS)
+    total += spend(cluster, 1)
+    assert total <= allowance(cluster, since) + 2
 
 
-def test_a_reborn_ingress_hears_of_its_own_former_life_from_its_peers(tier):
-    tier.lose()
-    spent = spend(tier, 1)
+def test_a_reborn_ingress_hears_of_its_own_former_life_from_its_peers(cluster):
+    cluster.lose()
+    spent = spend(cluster, 1)
     assert spent >= 5
-    tier.gates[1] = tier.new(1, tier.gates[0].now)
-    tier.run(300 * MS)
-    quota = tier.gates[1].policy.quota
-    tier.gates[1].passes(customer=7, doors=2.0, first_door=0.0)
+    cluster.gates[1] = cluster.new(1, cluster.gates[0].now)
+    cluster.run(300 * MS)
+    quota = cluster.gates[1].policy.quota
+    cluster.gates[1].passes(customer=7, doors=2.0, first_door=0.0)
     who = quota.customers[7 << 16]
     assert who.prev.told + who.cur.told >= spent - 1  # the first of them is counted in an older window
 
 
-def test_a_reborn_ingress_alone_gets_its_part_of_the_rate_only(tier):
-    tier.through = False
-    tier.lose()
-    reborn = tier.gates[1] = tier.new(1, tier.gates[0].now)
+def test_a_reborn_ingress_alone_gets_its_part_of_the_rate_only(cluster):
+    cluster.through = False
+    cluster.lose()
+    reborn = cluster.gates[1] = cluster.new(1, cluster.gates[0].now)
     for customer in range(50, 53):
         reborn.passes(customer=customer, doors=1.0)
-        tier.run(200 * MS)
-    assert tier.state(1) == State.LOST
+        cluster.run(200 * MS)
+    assert cluster.state(1) == State.LOST
     since = reborn.policy.quota.limits.health.since
-    assert spend(tier, 1) <= 2 + REFILL / 2 * (reborn.now - since) / SECOND
+    assert spend(cluster, 1) <= 2 + REFILL / 2 * (reborn.now - since) / SECOND
 
 
-def test_messages_that_come_again_or_late_change_nothing(tier):
-    tier.lose()
-    tier.through = False
-    tier.passed(0, 5)
-    said = [m for m in tier.said if m[1] == 1]
-    tier.through = True
-    tier.carry()
-    limits = tier.gates[1].policy.quota.limits
+def test_messages_that_come_again_or_late_change_nothing(cluster):
+    cluster.lose()
+    cluster.through = False
+    cluster.passed(0, 5)
+    said = [m for m in cluster.said if m[1] == 1]
+    cluster.through = True
+    cluster.carry()
+    limits = cluster.gates[1].policy.quota.limits
     before = {p: r.total for p, r in limits.spends.records.items()}
     for _, _, data in said * 3:
-        tier.gates[1].do(api.PeerMessage(0, data))
+        cluster.gates[1].do(api.PeerMessage(0, data))
     assert before and {p: r.total for p, r in limits.spends.records.items()} == before
 
 
@@ -426,79 +426,79 @@
         (codec.Message(0, 5, State.LOST, 0, (START - 3 * SECOND) // 1_000), 0),  # old, or said again
         (codec.Message(0, 5, State.LOST, 0, START // 1_000), 2),  # not who it says
         (codec.Message(1, 5, State.LOST, 0, START // 1_000), 1),  # from oneself
-        (codec.Message(9, 5, State.LOST, 0, START // 1_000), 9),  # from nobody of the tier
+        (codec.Message(9, 5, State.LOST, 0, START // 1_000), 9),  # from nobody of the cluster
     ],
 )
 def test_messages_that_cannot_be_true_are_dropped(message, sender):
-    tier = Tier(3)
-    limits = tier.gates[1].policy.quota.limits
+    cluster = Cluster(3)
+    limits = cluster.gates[1].policy.quota.limits
     part = codec.write_entry(codec.Entry(codec.firm_number(7 << 16), START // WINDOW % codec.WINDOWS, 9.0))
-    tier.gates[1].do(api.PeerMessage(sender, codec.write(message, [part], None)))
+    cluster.gates[1].do(api.PeerMessage(sender, codec.write(message, [part], None)))
     assert limits.foreign == 1 and not limits.spends.records and not limits.peers
 
 
 @pytest.mark.parametrize("ahead", [-40, -2, 2, 40])
 def test_entries_of_other_windows_count_nowhere(ahead):
-    tier = Tier()
+    cluster = Cluster()
     head = codec.Message(0, 5, State.LOST, 0, START // 1_000)
     place = (START // WINDOW + ahead) % codec.WINDOWS
     part = codec.write_entry(codec.Entry(codec.firm_number(7 << 16), place, 9.0))
-    tier.gates[1].do(api.PeerMessage(0, codec.write(head, [part], None)))
-    assert not tier.gates[1].policy.quota.limits.spends.records
-
-
-def test_a_counter_emptied_at_a_windows_turn_opens_no_second_allowance(tier):
-    since = tier.gates[0].now
-    total = 2 + spend(tier, 0)
-    gate = tier.gates[0]
-    tier.run(WINDOW - gate.now % WINDOW)
-    tier.service.totals.clear()
-    total += spend(tier, 1) + spend(tier, 0)
-    assert total <= allowance(tier, since) + 2
-
-
-def test_totals_that_run_backwards_are_floors_and_show_in_the_state(tier):
-    spend(tier, 0)
-    tier.service.totals = {name: total / 2 for name, total in tier.service.totals.items()}
-    tier.run(SECOND)
-    assert tier.passed(0, 1) <= 1
-    tier.run(200 * MS)
-    assert State.FRESH in (tier.state(0), tier.state(1))
-
-
-def test_a_call_without_an_answer_counts_as_added_and_is_never_sent_again(tier):
-    tier.up = False
-    before = sum(tier.service.totals.values())
-    passed = tier.passed(0, 3)
-    tier.up = True
-    tier.run(SECOND)
-    assert sum(tier.service.totals.values()) == before
-    who = tier.gates[0].policy.quota.customers[7 << 16]
+    cluster.gates[1].do(api.PeerMessage(0, codec.write(head, [part], None)))
+    assert not cluster.gates[1].policy.quota.limits.spends.records
+
+
+def test_a_counter_emptied_at_a_windows_turn_opens_no_second_allowance(cluster):
+    since = cluster.gates[0].now
+    total = 2 + spend(cluster, 0)
+    gate = cluster.gates[0]
+    cluster.run(WINDOW - gate.now % WINDOW)
+    cluster.service.totals.clear()
+    total += spend(cluster, 1) + spend(cluster, 0)
+    assert total <= allowance(cluster, since) + 2
+
+
+def test_totals_that_run_backwards_are_floors_and_show_in_the_state(cluster):
+    spend(cluster, 0)
+    cluster.service.totals = {name: total / 2 for name, total in cluster.service.totals.items()}
+    cluster.run(SECOND)
+    assert cluster.passed(0, 1) <= 1
+    cluster.run(200 * MS)
+    assert State.FRESH in (cluster.state(0), cluster.state(1))
+
+
+def test_a_call_without_an_answer_counts_as_added_and_is_never_sent_again(cluster):
+    cluster.up = False
+    before = sum(cluster.service.totals.values())
+    passed = cluster.passed(0, 3)
+    cluster.up = True
+    cluster.run(SECOND)
+    assert sum(cluster.service.totals.values()) == before
+    who = cluster.gates[0].policy.quota.customers[7 << 16]
     assert who.cur.count() + who.prev.count() >= 2 + passed
 
 
-def test_no_word_goes_out_while_the_counter_is_trusted(tier):
-    tier.run(3 * SECOND)
-    spoken = [p.spoken_at for g in tier.gates for p in g.policy.quota.limits.peers.values()]
-    tier.passed(0, 5)
-    tier.passed(1, 5)
-    assert spoken == [p.spoken_at for g in tier.gates for p in g.policy.quota.limits.peers.values()]
+def test_no_word_goes_out_while_the_counter_is_trusted(cluster):
+    cluster.run(3 * SECOND)
+    spoken = [p.spoken_at for g in cluster.gates for p in g.policy.quota.limits.peers.values()]
+    cluster.passed(0, 5)
+    cluster.passed(1, 5)
+    assert spoken == [p.spoken_at for g in cluster.gates for p in g.policy.quota.limits.peers.values()]
 
 
 def test_where_peers_may_not_speak_nothing_is_said():
-    tier = Tier()
-    tier.gates = [Gate(replace(tier.settings, index=i, peers=False)) for i in range(2)]
-    tier.passed(0, 1)
-    tier.lose()
-    assert not any(isinstance(a, api.Say) for g in tier.gates for a in g.acts) and not tier.said
+    cluster = Cluster()
+    cluster.gates = [Gate(replace(cluster.settings, index=i, peers=False)) for i in range(2)]
+    cluster.passed(0, 1)
+    cluster.lose()
+    assert not any(isinstance(a, api.Say) for g in cluster.gates for a in g.acts) and not cluster.said
 
 
-def test_each_change_of_state_is_logged_with_its_promise(tier):
+def test_each_change_of_state_is_logged_with_its_promise(cluster):
     lines = []
-    limits = tier.gates[0].policy.quota.limits
-    limits.health.lost_counts(tier.gates[0].now, tier.gates[0].now)
-    limits.tick(tier.gates[0].now, lines.append)
-    limits.tick(tier.gates[0].now, lines.append)
+    limits = cluster.gates[0].policy.quota.limits
+    limits.health.lost_counts(cluster.gates[0].now, cluster.gates[0].now)
+    limits.tick(cluster.gates[0].now, lines.append)
+    limits.tick(cluster.gates[0].now, lines.append)
     (log,) = [a for a in lines if isinstance(a, api.Log)]
     assert log.text.startswith("counter fresh: a customer of plan mellan")
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: records, messages, a tier in virtual time with a judge, and the users of the view."""
+"""Membership: records, messages, a cluster in virtual time with a judge, and the users of the view."""
 
 import json
 import random
@@ -76,7 +76,7 @@
 
 
 def played(faults, members=9, length=40, **changed):
-    """A tier in which faults begin at given seconds."""
+    """A cluster in which faults begin at given seconds."""
     scene = world(members=members, length=length * SECOND, faults=False, **changed)
     for at, fault in faults:
         scene.after(at * SECOND, lambda fault=fault: fault(scene))
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -8,7 +8,15 @@
 from net_helpers import OK, free_port, run, settings, stage, until
 
 from vetchusher.duties import Duty, Plan, Timing
-from vetchusher.emulator.membership.rig import MEMBER_FAULTS, MembersTier, Truth, Word, times, words, wrong
+from vetchusher.emulator.membership.rig import (
+    MEMBER_FAULTS,
+    MembershipCluster,
+    Truth,
+    Word,
+    times,
+    words,
+    wrong,
+)
 from vetchusher.membership.rules import Rules
 from vetchusher.net import cli, fleet_cli
 from vetchusher.settings.fleet import FleetSettings
@@ -19,20 +27,20 @@
 def test_no_living_process_is_declared_dead_and_a_dead_one_is_by_all(tmp_path):
     """Safety by the logs, with a pause stated that no busy machine reaches; deaths without a limit."""
 
-    async def script(tier):
+    async def script(cluster):
         for number in range(5):
-            await tier.until_word("alive", number, 4)
+            await cluster.until_word("alive", number, 4)
         for kind in BORNE:
-            await tier.disturb(kind, 3)
-        assert not [w for w in tier.found() if w.what in ("dead", "left", "number used twice")]
-        await tier.leave(1)
-        await tier.until_word("left", 1, 4)
-        await tier.processes.kill(4)
-        await tier.until_word("dead", 4, 4)
-        assert {w.member for w in tier.found() if w.what == "dead"} == {4}
-
-    tier = MembersTier(tmp_path, membership={"period_ms": 300, "pause_ms": 10_000})
-    assert not asyncio.run(tier.run(script)).wrong and set(BORNE) <= set(MEMBER_FAULTS)
+            await cluster.disturb(kind, 3)
+        assert not [w for w in cluster.found() if w.what in ("dead", "left", "number used twice")]
+        await cluster.leave(1)
+        await cluster.until_word("left", 1, 4)
+        await cluster.processes.kill(4)
+        await cluster.until_word("dead", 4, 4)
+        assert {w.member for w in cluster.found() if w.what == "dead"} == {4}
+
+    cluster = MembershipCluster(tmp_path, membership={"period_ms": 300, "pause_ms": 10_000})
+    assert not asyncio.run(cluster.run(script)).wrong and set(BORNE) <= set(MEMBER_FAULTS)
 
 
 def line(what, member, at):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 
 
 @asynccontextmanager
-async def tier(count=2, keys=None, loss=0.0, plan=PLAN):
+async def cluster(count=2, keys=None, loss=0.0, plan=PLAN):
     """Ingresses that hear one another, share servers that answer, and a counter that never does."""
     async with AsyncExitStack() as opened:
         server = await opened.enter_async_context(Peer(lambda a: OK).open())
@@ -98,7 +98,7 @@
 
 def test_ingresses_that_hear_one_another_spend_an_allowance_once():
     async def scene():
-        async with tier(loss=0.07) as (nodes, _):
+        async with cluster(loss=0.07) as (nodes, _):
             await lose(nodes)
             first = await spend(nodes[0][1], 8)
             assert 1 <= first <= BURST
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("keys", [(KEY, b"another key of theirs"), (KEY, None)])
 def test_ingresses_with_other_keys_do_not_hear_one_another(keys):
     async def scene():
-        async with tier(keys=keys) as (nodes, _):
+        async with cluster(keys=keys) as (nodes, _):
             await lose(nodes)
             await spend(nodes[0][1], 2)
             await until(lambda: limits(nodes[1][0]).foreign > 2)
@@ -124,7 +124,7 @@
 
 def test_ingresses_with_one_key_do():
     async def scene():
-        async with tier(keys=(KEY, KEY)) as (nodes, _):
+        async with cluster(keys=(KEY, KEY)) as (nodes, _):
             await lose(nodes)
             assert await spend(nodes[0][1], 2)
             await until(lambda: heard(nodes[1][0]) >= 1.0)
@@ -135,7 +135,7 @@
 
 def test_strangers_and_floods_do_not_reach_the_module(monkeypatch):
     async def scene():
-        async with tier() as (nodes, _):
+        async with cluster() as (nodes, _):
             node, _ = nodes[0]
             before = node.peers.dropped
             loop = asyncio.get_running_loop()
--- a/vetchusher/datagrams/__init__.py
+++ b/vetchusher/datagrams/__init__.py
@@ -1,8 +1,11 @@
-"""What the ingresses of a tier have in common when they work together: the envelope of their messages, and
-the clock by which leases are counted.  Nothing here does I/O."""
+"""What cooperating ingresses share: the envelope of their datagrams, the clock of leases, the send budget.
 
-from .envelope import KIND, Envelope, Letter
-from .messages import Tell
+Others use the names below, `parts.Parts`, which hands each message to the part of the work that owns its
+topic, and `budget.room`.  Nothing here does I/O.
+"""
+
+from .envelope import KIND, Envelope, ReceivedMessage
+from .messages import SendDatagram
 from .pace import Pace
 
-__all__ = ["KIND", "Envelope", "Letter", "Pace", "Tell"]
+__all__ = ["KIND", "Envelope", "ReceivedMessage", "Pace", "SendDatagram"]
--- a/vetchusher/datagrams/budget.py
+++ b/vetchusher/datagrams/budget.py
@@ -1,6 +1,6 @@
-"""What part of the datagrams that an ingress takes in the work shared by the tier may make.
+"""The part of an ingress's incoming datagrams that all shared work together may use.
 
-Owned here for all of it: duties now; whoever joins them (membership, releases) is reckoned in the same sum.
+One budget for duties and membership: settings that would exceed it are refused.
 """
 
 from __future__ import annotations
--- a/vetchusher/datagrams/envelope.py
+++ b/vetchusher/datagrams/envelope.py
@@ -1,9 +1,9 @@
 """The envelope of every message between ingresses that is not about quotas.
 
-    kind u8 (3) | topic u8 | sender u16 | life u32 | tier u32 | body | seal: 12 bytes where a key is set
+    kind u8 (3) | topic u8 | sender u16 | life u32 | cluster u32 | body | seal: 12 bytes where a key is set
 
-`life` tells a process from an earlier one of the same number; `tier` is a digest of the settings that all
-must share, so that ingresses that would count majorities or leases differently do not hear each other.  All
+`life` tells a process from an earlier one of the same number; `cluster` is a digest of the settings that all
+must share, so that ingresses that would count majorities or leases differently ignore each other.  All
 numbers are little-endian; one message is at most 256 bytes and stands alone.
 """
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Letter:
-    """A message that was sealed by a member of this tier."""
+class ReceivedMessage:
+    """A message from a member of this cluster, out of its envelope."""
 
     topic: int
     sender: int
@@ -35,18 +35,18 @@
     `refused` counts what could not be used, by reason: as many entries as there are reasons.
     """
 
-    def __init__(self, number: int, life: int, members: int, tier: int, key: bytes | None = None) -> None:
-        self.number, self.life, self.members, self.tier = number, life, members, tier
+    def __init__(self, number: int, life: int, members: int, cluster: int, key: bytes | None = None) -> None:
+        self.number, self.life, self.members, self.cluster = number, life, members, cluster
         self.seal = codec.seal_with(key) if key is not None else None
         self.refused: Counter[str] = Counter()
 
     def write(self, topic: int, body: bytes) -> bytes:
         """:raises ValueError: if it would be longer than 256 bytes"""
-        head = _HEAD.pack(KIND, topic, self.number, self.life, self.tier)
+        head = _HEAD.pack(KIND, topic, self.number, self.life, self.cluster)
         return codec.sealed(head + body, self.seal)
 
-    def read(self, sender: int, data: bytes) -> Letter | None:
-        """The letter, or nothing where it is forged, foreign, cut or one's own, which is counted.
+    def read(self, sender: int, data: bytes) -> ReceivedMessage | None:
+        """The message; None where it is forged, foreign, truncated or one's own, which is counted.
 
         :param sender: the ingress from whose address it came
         """
@@ -55,14 +55,14 @@
         except codec.Unreadable as err:
             self.refuse("forged" if "seal" in str(err) else "truncated")
             return None
-        kind, topic, claimed, life, tier = _HEAD.unpack_from(data)
-        if kind != KIND or tier != self.tier:
+        kind, topic, claimed, life, cluster = _HEAD.unpack_from(data)
+        if kind != KIND or cluster != self.cluster:
             self.refuse("foreign")
             return None
         if claimed != sender or sender >= self.members or (sender == self.number and life == self.life):
             self.refuse("misplaced")
             return None
-        return Letter(topic, sender, life, data[_HEAD.size : end])
+        return ReceivedMessage(topic, sender, life, data[_HEAD.size : end])
 
     def refuse(self, reason: str) -> None:
         self.refused[reason] += 1
--- a/vetchusher/datagrams/messages.py
+++ b/vetchusher/datagrams/messages.py
@@ -1,4 +1,4 @@
-"""What the work that ingresses share asks to have done, beside what is its own."""
+"""The output that all parts of the shared work have in common."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
-    """Send a datagram to one ingress of the tier."""
+class SendDatagram:
+    """Send a datagram to one ingress of the cluster, by its number."""
 
     to: int
     data: bytes
--- a/vetchusher/datagrams/parts.py
+++ b/vetchusher/datagrams/parts.py
@@ -1,6 +1,6 @@
-"""The kinds of work that one ingress shares with the others, as the reducer sees them: each has its topics.
+"""The parts of the work that ingresses share, as the reducer sees them.
 
-A datagram's envelope is opened once, here; what it says goes to the part that owns its topic.
+A datagram's envelope is opened once, here; the message goes to the part that owns its topic.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 
 from vetchusher import interface as api
 
-from .envelope import Envelope, Letter
+from .envelope import Envelope, ReceivedMessage
 
 
 class Part(Protocol):
-    """One kind of work; times are us on the program's clock."""
+    """One kind of shared work, such as duties or membership; times are us on the program's clock."""
 
     topics: range
     tick_us: int
@@ -22,7 +22,7 @@
 
     def tick(self, now: int) -> list[api.Action]: ...
 
-    def letter(self, now: int, letter: Letter) -> list[api.Action]: ...
+    def receive(self, now: int, received: ReceivedMessage) -> list[api.Action]: ...
 
     def stop(self, now: int) -> list[api.Action]: ...
 
@@ -38,16 +38,16 @@
     def envelope(self) -> Envelope: ...
 
 
-D = TypeVar("D", bound=Opener)
+OpenerT = TypeVar("OpenerT", bound=Opener)
 
 
-class Parts(Generic[D]):
-    """All of them; as many as the settings switch on.
+class Parts(Generic[OpenerT]):
+    """Owner of all parts, as many as the settings switch on.
 
-    :param duties: is always there: its plan is what the envelopes of a tier have in common
+    :param duties: is always there: its plan is what the envelopes of a cluster have in common
     """
 
-    def __init__(self, duties: D, others: tuple[Part, ...] = ()) -> None:
+    def __init__(self, duties: OpenerT, others: tuple[Part, ...] = ()) -> None:
         self.duties = duties
         self.all: tuple[Part, ...] = (duties, *others)
         self.tick_us = min(p.tick_us for p in self.all)
@@ -67,12 +67,12 @@
 
     def heard(self, now: int, sender: int, data: bytes) -> list[api.Action]:
         envelope = self.duties.envelope
-        letter = envelope.read(sender, data)
-        if letter is None:
+        received = envelope.read(sender, data)
+        if received is None:
             return []
         for part in self.all:
-            if letter.topic in part.topics:
-                return part.letter(now, letter)
+            if received.topic in part.topics:
+                return part.receive(now, received)
         envelope.refuse("unreadable")
         return []
 
--- a/vetchusher/duties/candidate.py
+++ b/vetchusher/duties/candidate.py
@@ -1,4 +1,4 @@
-"""One ingress's way to one duty: it asks, takes, holds and renews, and knows when it must have stopped."""
+"""One ingress's candidacy for one duty: it asks, takes, holds and renews, and knows when its lease ends."""
 
 from __future__ import annotations
 
--- a/vetchusher/duties/duties.py
+++ b/vetchusher/duties/duties.py
@@ -1,11 +1,11 @@
-"""All duties at one ingress: its part as a voter, its part as a candidate, and what it says and notes."""
+"""All duties at one ingress: its voters, its candidates, and the datagrams and log events they cause."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
 
-from vetchusher.datagrams import Envelope, Letter, Tell
+from vetchusher.datagrams import Envelope, ReceivedMessage, SendDatagram
 
 from . import messages
 from .candidate import Candidate, Reason, Stage
@@ -30,7 +30,7 @@
     reason: str = ""
 
 
-Act = Tell | Note
+Act = SendDatagram | Note
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     kept_free: bool = False  # by hand: holds no duty, and stands for none
     stopping: bool = False
     ticked_at: int = -1
-    heard_at: dict[int, int] = field(default_factory=dict)  # by ingress, as many as the tier has
+    heard_at: dict[int, int] = field(default_factory=dict)  # by ingress, as many as the cluster has
     envelope: Envelope = field(init=False)
     orders: list[list[int]] = field(init=False)
 
@@ -116,21 +116,21 @@
         return acts
 
     def heard(self, now: int, sender: int, data: bytes) -> list[Act]:
-        """Take in a datagram; what cannot be used changes nothing but a count."""
+        """Take in a datagram; one that cannot be used is counted and ignored."""
         acts: list[Act] = []
-        letter = self.envelope.read(sender, data)
-        if letter is not None:
-            self.letter(now, letter, acts)
+        received = self.envelope.read(sender, data)
+        if received is not None:
+            self.receive(now, received, acts)
         return acts
 
-    def letter(self, now: int, letter: Letter, acts: list[Act]) -> None:
-        message = messages.read(letter.topic, letter.body)
+    def receive(self, now: int, received: ReceivedMessage, acts: list[Act]) -> None:
+        message = messages.read(received.topic, received.body)
         if message is None or message.duty >= len(self.candidates):
             self.envelope.refuse("unreadable")
             return
         self.figures.heard += 1
-        self.heard_at[letter.sender] = now
-        self.deliver(now, letter.sender, letter.life, message, acts)
+        self.heard_at[received.sender] = now
+        self.deliver(now, received.sender, received.life, message, acts)
 
     def deliver(self, now: int, sender: int, life: int, message: Message, acts: list[Act]) -> None:
         if message.topic in TO_VOTER:
@@ -145,7 +145,7 @@
         self.note(candidate, acts)
 
     def stop(self, now: int) -> list[Act]:
-        """Hand on all that is held: the process is about to end."""
+        """Release all duties: the process is about to end."""
         self.stopping = True
         return self.give_up(now, Reason.STOPPING)
 
@@ -225,13 +225,13 @@
     # -- small things -----------------------------------------------------------------
 
     def post(self, now: int, out: list[tuple[int, Message]], acts: list[Act]) -> None:
-        """What goes to this ingress itself is delivered at once, in order; the rest is sealed and told."""
+        """Deliver messages to this ingress itself at once, in order; seal the others and send them."""
         for to, message in out:
             if to == self.number:
                 self.deliver(now, self.number, self.life, message, acts)
             else:
                 self.figures.sent += 1
-                acts.append(Tell(to, self.envelope.write(message.topic, messages.write(message))))
+                acts.append(SendDatagram(to, self.envelope.write(message.topic, messages.write(message))))
 
     def note(self, candidate: Candidate, acts: list[Act]) -> None:
         name = self.plan.duties[candidate.duty].name
--- a/vetchusher/duties/engine_work.py
+++ b/vetchusher/duties/engine_work.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from vetchusher import interface as api
-from vetchusher.datagrams import Tell
+from vetchusher.datagrams import SendDatagram
 
 from .duties import Act, Duties
 from .engine import Ask, EngineDuties
@@ -65,7 +65,7 @@
     def shown(self, now: int) -> list[dict[str, object]]:
         return self.engine.shown(now)
 
-    def letter(self, now: int, letter: Any, acts: list[Tell | Any]) -> None:
+    def receive(self, now: int, received: Any, acts: list[SendDatagram | Any]) -> None:
         self.envelope.refuse("unreadable")  # nobody votes here
 
     def outbid(self, duty: int, token: int) -> None:
--- a/vetchusher/duties/messages.py
+++ b/vetchusher/duties/messages.py
@@ -1,4 +1,4 @@
-"""What voters and candidates write to one another; see docs/design/duties.md for what each means."""
+"""Messages between voters and candidates; docs/design/duties.md has the meaning of each."""
 
 from __future__ import annotations
 
--- a/vetchusher/duties/plan.py
+++ b/vetchusher/duties/plan.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from functools import partial
 from hashlib import blake2b
 
 from .lease import MOST_MEMBERS, Timing
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What all ingresses of the tier must agree on.
+    """What all ingresses of the cluster must agree on.
 
     :param zones: by number of ingress, where known
     :param willing: numbers of the ingresses that may hold duties
@@ -91,7 +92,7 @@
         loads = dict.fromkeys(there, 0)
         orders = []
         for duty in range(len(self.duties)):
-            order = sorted(there, key=lambda n: self.place(duty, n))  # noqa: B023
+            order = sorted(there, key=partial(self.place, duty))
             first = next(n for n in order if loads[n] < most)
             loads[first] += 1
             orders.append([first, *(n for n in order if n != first)])
--- a/vetchusher/duties/voter.py
+++ b/vetchusher/duties/voter.py
@@ -1,4 +1,4 @@
-"""One voter's memory of one duty."""
+"""One voter's memory of one duty: what it promised and accepted (PaxosLease's acceptor)."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class Voter:
     """What was promised and accepted, and whether it is remembered.
 
-    It keeps a handful of numbers, and in `told` what each other voter said since this one woke: as many
-    entries as there are voters, dropped when it remembers.
+    It keeps a handful of numbers, and in `told` what each other voter answered since this one started: as
+    many entries as there are voters, dropped when it remembers.
     """
 
     def __init__(self, duty: int, number: int, voters: tuple[int, ...], timing: Timing) -> None:
--- a/vetchusher/duties/work.py
+++ b/vetchusher/duties/work.py
@@ -1,4 +1,4 @@
-"""What the reducer sees of the work that ingresses share: events in, effects out, on the program's clock."""
+"""Duties as one `Part` of the work that ingresses share: events in, actions out, on the program's clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from vetchusher import interface as api
-from vetchusher.datagrams import Envelope, Letter, Pace, Tell
+from vetchusher.datagrams import Envelope, Pace, ReceivedMessage, SendDatagram
 
 from . import report
 from .duties import Act, Duties, Note
@@ -82,20 +82,20 @@
         """Our own voters ask no engine."""
         return []
 
-    def letter(self, now: int, letter: Letter) -> list[api.Action]:
+    def receive(self, now: int, received: ReceivedMessage) -> list[api.Action]:
         at = self.lease_clock(now)
-        if letter.topic == report.CALL:
-            return self.called(letter.sender, letter.body)
-        if letter.topic == report.FIGURES:
-            if not self.report.heard(letter.sender, letter.body):
+        if received.topic == report.CALL:
+            return self.called(received.sender, received.body)
+        if received.topic == report.FIGURES:
+            if not self.report.heard(received.sender, received.body):
                 self.duties.envelope.refuse("unreadable")
             return []
         acts: list[Act] = []
-        self.duties.letter(at, letter, acts)
+        self.duties.receive(at, received, acts)
         return self.carried(acts)
 
     def called(self, sender: int, body: bytes) -> list[api.Action]:
-        """Tell the holder of the report this ingress's figures; whoever calls is told them."""
+        """Answer a call for this ingress's figures."""
         call = report.read_call(body)
         if call is None:
             self.duties.envelope.refuse("unreadable")
@@ -163,7 +163,7 @@
     def carried(self, acts: list[Act]) -> list[api.Action]:
         out: list[api.Action] = []
         for act in acts:
-            if isinstance(act, Tell):
+            if isinstance(act, SendDatagram):
                 out.append(api.Say(act.data, act.to))
             elif act.what != "renewed" or self.log_renewals:
                 out.append(self.line(act))
--- a/vetchusher/emulator/duties/rig.py
+++ b/vetchusher/emulator/duties/rig.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Tier:
+class Cluster:
     """So many processes, their paths, and a sink; everything it opens it closes in `run`."""
 
     folder: pathlib.Path
@@ -94,7 +94,7 @@
     def lease_s(self) -> float:
         return self.lease_ms / 1000
 
-    async def run(self, script: Callable[[Tier], Awaitable[None]]) -> Outcome:
+    async def run(self, script: Callable[[Cluster], Awaitable[None]]) -> Outcome:
         async with contextlib.AsyncExitStack() as opened:
             listeners = tuple(held_listener() for _ in range(self.members))
             for listener in listeners:
@@ -259,22 +259,22 @@
         await self.end(number)
 
 
-FAULTS: dict[str, Callable[[Tier, int], Awaitable[None]]] = {
+FAULTS: dict[str, Callable[[Cluster, int], Awaitable[None]]] = {
     "stopped 0.5 leases": lambda t, n: t.stop(n, 0.5),
     "stopped 1 lease": lambda t, n: t.stop(n, 1.0),
     "stopped 3 leases": lambda t, n: t.stop(n, 3.0),
     "stopped 10 leases": lambda t, n: t.stop(n, 10.0),
-    "killed": Tier.kill,
-    "deaf": Tier.deafen,
-    "unheard": Tier.silence,
+    "killed": Cluster.kill,
+    "deaf": Cluster.deafen,
+    "unheard": Cluster.silence,
     "cut from the majority": lambda t, n: t.cut(n, 1),
     "cut in two": lambda t, n: t.cut(n, 2),
     "cut in three": lambda t, n: t.cut(n, 3),
-    "loss 30%": Tier.lossy,
-    "doubled and disordered": Tier.disorder,
+    "loss 30%": Cluster.lossy,
+    "doubled and disordered": Cluster.disorder,
     "a voter restarted": lambda t, n: t.restart_voters(1),
     "two voters restarted": lambda t, n: t.restart_voters(2),
     "all voters but one restarted": lambda t, n: t.restart_voters(t.voters - 1),
-    "sigterm": Tier.sigterm,
-    "upgrade": Tier.upgrade,
+    "sigterm": Cluster.sigterm,
+    "upgrade": Cluster.upgrade,
 }
--- a/vetchusher/emulator/duties/world.py
+++ b/vetchusher/emulator/duties/world.py
@@ -13,14 +13,14 @@
 
 from vetchusher.duties import Duties, Duty, Plan, Timing
 from vetchusher.duties.duties import Note
-from vetchusher.emulator.fleet_world import MS, SECOND, Node, TierScene, TierWorld
+from vetchusher.emulator.fleet_world import MS, SECOND, ClusterScene, ClusterWorld, Node
 
 WALL_S = 1_900_000_000
 LOOKS = 16  # events between two looks of the judge where no term changed
 
 
 @dataclass(slots=True)
-class Scene(TierScene):
+class Scene(ClusterScene):
     voters: int = 3
     duties: int = 1
     lease: int = 2 * SECOND
@@ -53,7 +53,7 @@
     stale_acts: int = 0
 
 
-class World(TierWorld[Duties]):
+class World(ClusterWorld[Duties]):
     scene: Scene
 
     def __init__(self, scene: Scene) -> None:
--- a/vetchusher/emulator/fleet_world.py
+++ b/vetchusher/emulator/fleet_world.py
@@ -1,4 +1,4 @@
-"""A tier in virtual time: a heap of what happens, members with clocks of their own, a network with faults.
+"""A cluster in virtual time: a heap of what happens, members with clocks of their own, a network with faults.
 
 The state machines run unchanged.  What they are, what their acts mean beside datagrams, and what may never be
 is for the worlds built on this one: duties, membership.
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Generic, Protocol, TypeVar
 
-from vetchusher.datagrams import Tell
+from vetchusher.datagrams import SendDatagram
 
 MS = 1_000
 SECOND = 1_000_000
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class TierScene:
+class ClusterScene:
     """One run.
 
     :param unit: that faults last so many times (us)
@@ -72,12 +72,12 @@
         return self.offset + int(at * self.rate)
 
 
-class TierWorld(Generic[P]):
+class ClusterWorld(Generic[P]):
     """It owns all nodes, and the heap of what is to happen."""
 
     tick_us = SECOND // 10
 
-    def __init__(self, scene: TierScene) -> None:
+    def __init__(self, scene: ClusterScene) -> None:
         self.scene = scene
         self.rng = random.Random(scene.seed)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -167,7 +167,7 @@
 
     def carry(self, node: Node[P], acts: list[Any]) -> None:
         for act in acts:
-            if isinstance(act, Tell):
+            if isinstance(act, SendDatagram):
                 self.send(node.number, act.to, act.data)
             else:
                 self.noted(node, act)
--- a/vetchusher/emulator/membership/checks.py
+++ b/vetchusher/emulator/membership/checks.py
@@ -194,5 +194,5 @@
     "living ones": living_ones_are_not_declared_dead,
     "lossy for long": lossy_for_long,
     "clocks worse than stated": clocks_worse_than_stated,
-    "pauses in a larger tier": pauses_in_a_larger_tier,
+    "pauses in a larger cluster": pauses_in_a_larger_tier,
 }
--- a/vetchusher/emulator/membership/mutations.py
+++ b/vetchusher/emulator/membership/mutations.py
@@ -10,7 +10,7 @@
 from vetchusher.membership import member, records, rules, view
 from vetchusher.membership.records import Record, State
 
-REAL_ABOUT = member.Membership.about_self
+REAL_ABOUT = member.Membership.receive_about_self
 
 
 def no_beat(one: Record, other: Record) -> Record:
@@ -49,14 +49,14 @@
 
 PLANTED: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "no order of beats": ((view, "later", no_beat),),
-    "no local health: accuses unheard, at waking, beside a twin": (
+    "no local health: accuses unheard, at waking, beside a duplicate number": (
         (member.Membership, "failed", accuses_unheard),
-        (member.Membership, "look_at_stall", no_stall),
+        (member.Membership, "check_stall", no_stall),
         (member.Membership, "doubts", always_sure),
         (member.Membership, "answered", lambda self, now: True),
     ),
     "refutation lost": (
-        (member.Membership, "about_self", deaf_to_accusations),
+        (member.Membership, "receive_about_self", deaf_to_accusations),
         (view.View, "vouched", never_vouches),
     ),
     "a witness counted twice": ((view.View, "witness", counts_twice),),
--- a/vetchusher/emulator/membership/rig.py
+++ b/vetchusher/emulator/membership/rig.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass, field
 
-from vetchusher.emulator.duties.rig import Tier
+from vetchusher.emulator.duties.rig import Cluster
 from vetchusher.membership.rules import Rules
 
 US_NS = 1_000
@@ -86,8 +86,8 @@
     return done
 
 
-class MembersTier(Tier):
-    """A tier of the duties' rig in which membership is switched on, and which notes what it does to whom."""
+class MembershipCluster(Cluster):
+    """The duties' rig with membership switched on; it records which fault hit which member."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -212,14 +212,14 @@
                 os.sched_setaffinity(process.pid, before)
 
 
-MEMBER_FAULTS: dict[str, Callable[[MembersTier, int], Awaitable[None]]] = {
+MEMBER_FAULTS: dict[str, Callable[[MembershipCluster, int], Awaitable[None]]] = {
     "paused 0.3 of the stated": lambda t, n: t.pause(n, 0.3),
     "paused 0.9 of the stated": lambda t, n: t.pause(n, 0.9),
     "paused 5 times the stated": lambda t, n: t.pause(n, 5.0),
-    "killed": MembersTier.lose,
-    "killed and back": MembersTier.reborn,
-    "sigterm": MembersTier.leave,
-    "upgrade": MembersTier.renew,
+    "killed": MembershipCluster.lose,
+    "killed and back": MembershipCluster.reborn,
+    "sigterm": MembershipCluster.leave,
+    "upgrade": MembershipCluster.renew,
     "deaf": lambda t, n: t.only(t.paths.deaf, n, False),
     "unheard": lambda t, n: t.only(t.paths.unheard, n, True),
     "does not hear one": lambda t, n: t.one_sided(n, False),
@@ -228,6 +228,6 @@
     "cut in three": lambda t, n: t.cut_off(n, 3),
     "loss 7%": lambda t, n: t.lossy_paths(0.07),
     "loss 30%": lambda t, n: t.lossy_paths(0.3),
-    "doubled, late by up to 1 s": MembersTier.disordered,
-    "all on one core": MembersTier.one_core,
+    "doubled, late by up to 1 s": MembershipCluster.disordered,
+    "all on one core": MembershipCluster.one_core,
 }
--- a/vetchusher/emulator/membership/world.py
+++ b/vetchusher/emulator/membership/world.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from vetchusher.datagrams import Envelope, Tell
-from vetchusher.emulator.fleet_world import MS, SECOND, Node, TierScene, TierWorld
+from vetchusher.datagrams import Envelope, SendDatagram
+from vetchusher.emulator.fleet_world import MS, SECOND, ClusterScene, ClusterWorld, Node
 from vetchusher.membership.member import Membership, Side
 from vetchusher.membership.probe import Probe
 from vetchusher.membership.records import HERE, Record, State
@@ -16,7 +16,7 @@
 from vetchusher.membership.view import Change
 
 WALL_MS = 1_900_000_000_000
-TIER = 7
+CLUSTER = 7
 
 
 class PlainSwim(Membership):
@@ -28,7 +28,7 @@
     def doubts(self, now: int) -> bool:
         return not self.settled
 
-    def look_at_stall(self, now: int) -> None:
+    def check_stall(self, now: int) -> None:
         self.health = 0
 
     def failed(self, now: int, probe: Probe) -> None:
@@ -37,8 +37,8 @@
         if entry.state is State.SUSPECTED:
             entry.accused_at = now - 10 * self.rules.longest
 
-    def heard(self, now: int, letter: Any) -> list[Tell]:
-        acts = super().heard(now, letter)
+    def receive(self, now: int, received: Any) -> list[SendDatagram]:
+        acts = super().receive(now, received)
         self.view.muted_until = -1
         for number in list(self.view.suspects):
             self.view.entries[number].accused_at = now - 10 * self.rules.longest
@@ -55,7 +55,7 @@
         self.said_at = -1
         self.noted: list[Change] = []
 
-    def tick(self, now: int) -> list[Tell]:
+    def tick(self, now: int) -> list[SendDatagram]:
         for number, at in self.heard_at.items():
             if number not in self.dead and now - at > self.rules.pause + self.rules.period:
                 self.dead.add(number)
@@ -64,7 +64,7 @@
             return []
         self.said_at = now
         data = self.envelope.write(32, b"")
-        return [Tell(n, data) for n in range(self.rules.members) if n != self.number]
+        return [SendDatagram(n, data) for n in range(self.rules.members) if n != self.number]
 
     def heard_from(self, now: int, sender: int) -> None:
         self.heard_at[sender] = now
@@ -77,7 +77,7 @@
     """One process: the envelope's reading, and membership or a plain way behind it."""
 
     def __init__(self, way: str, rules: Rules, number: int, life: int, rng: random.Random) -> None:
-        self.envelope = Envelope(number, life, rules.members, TIER)
+        self.envelope = Envelope(number, life, rules.members, CLUSTER)
         self.plain: Heartbeats | None = None
         self.member: Membership | None = None
         self.life = WALL_MS + life
@@ -100,14 +100,14 @@
         return [*self.member.tick(now), *self.member.changes()]
 
     def heard(self, now: int, sender: int, data: bytes) -> list[Any]:
-        letter = self.envelope.read(sender, data)
-        if letter is None:
+        received = self.envelope.read(sender, data)
+        if received is None:
             return []
         if self.plain is not None:
             self.plain.heard_from(now, sender)
             return []
         assert self.member is not None
-        return [*self.member.heard(now, letter), *self.member.changes()]
+        return [*self.member.receive(now, received), *self.member.changes()]
 
     def stop(self, now: int) -> list[Any]:
         return [*self.member.stop(now)] if self.member is not None else []
@@ -117,7 +117,7 @@
 
 
 @dataclass(slots=True)
-class Scene(TierScene):
+class Scene(ClusterScene):
     """:param way: `ours`, or a plain one beside it: `swim`, `heartbeats`"""
 
     way: str = "ours"
@@ -163,7 +163,7 @@
     most_in: int = 0  # datagrams that one member took in within a second
 
 
-class World(TierWorld[Member]):
+class World(ClusterWorld[Member]):
     """:ivar excused: by member, until when its death may be told although it lives: it was unheard, stopped
     for longer than the stated pause, or on the other side of a cut"""
 
--- a/vetchusher/emulator/processes.py
+++ b/vetchusher/emulator/processes.py
@@ -14,7 +14,7 @@
 
 
 class Processes:
-    """The programs of one tier, by number, the older first.  It owns them: each ends in `end_all`.
+    """The programs of one cluster, by number, the older first.  It owns them: each ends in `end_all`.
 
     :param listeners: by number, the clients' listening socket that every process of it inherits; none: each
         binds the address of its configuration
--- a/vetchusher/emulator/quota/demand.py
+++ b/vetchusher/emulator/quota/demand.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """One command of a firm: when (us), who, and through which ingress of the tier."""
+    """One command of a firm: when (us), who, and through which ingress of the cluster."""
 
     at: int
     firm: Firm
--- a/vetchusher/interface.py
+++ b/vetchusher/interface.py
@@ -282,7 +282,7 @@
 
 @dataclass(slots=True)
 class Say:
-    """Send a datagram of at most 256 bytes to one gateway of the tier, or to all of them."""
+    """Send a datagram of at most 256 bytes to one gateway of the cluster, or to all of them."""
 
     data: bytes
     peer: int | None = None
--- a/vetchusher/membership/backoff.py
+++ b/vetchusher/membership/backoff.py
@@ -1,6 +1,6 @@
 """When to ask again after a call to discovery has failed.
 
-Danger: every ingress of a tier asks at the same moments, at a start and when a list changes.  Where one
+Danger: every ingress of a cluster asks at the same moments, at a start and when a list changes.  Where one
 service answers all of them in turn, a fixed pause brings the same crowd back together until no call is
 answered in time any more, and no list arrives for good.  So pauses are drawn at random below a bound
 that doubles.
@@ -11,8 +11,8 @@
 import random
 
 GO_ON_US = 150_000  # after a broken connection: the next call within 200 ms goes on with the watch
-EACH_FIRST_US = 250_000  # the first bound after a refusal, for each ingress of the tier: all ask at once
-EACH_MOST_US = 1_000_000  # the last bound, for each: a tier then asks for about two lists a second
+EACH_FIRST_US = 250_000  # the first bound after a refusal, for each ingress of the cluster: all ask at once
+EACH_MOST_US = 1_000_000  # the last bound, for each: a cluster then asks for about two lists a second
 EACH_TURN_US = 500_000  # for each, the time over which first calls are spread where lists must be asked for
 LEAST_US, MOST_US = 200_000, 40_000_000  # no bound is below the one or above the other
 
--- a/vetchusher/membership/member.py
+++ b/vetchusher/membership/member.py
@@ -1,4 +1,9 @@
-"""The face of membership at one ingress: it probes, answers, doubts itself, and tells on what is new."""
+"""One process's part in membership: SWIM's probes and gossip, with Lifeguard's local health.
+
+Decides who is probed next, who is suspected, and what each message carries; `View` keeps what is known.
+Invariant: a member accuses nobody while it may itself be the one that is cut off, stalled or superseded.
+Sources: SWIM (Das, Gupta, Motivala 2002), Lifeguard (Dadgar, Phillips, Currey 2018).
+"""
 
 from __future__ import annotations
 
@@ -7,42 +12,42 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from vetchusher.datagrams import Envelope, Letter, Tell
+from vetchusher.datagrams import Envelope, ReceivedMessage, SendDatagram
 
 from . import messages
+from .duplicates import REPORT_PERIODS, DuplicateNumbers
 from .messages import NOBODY, RECORDS_SEALED, Message, Topic
-from .probe import MOST_ERRANDS, Errand, Paths, Probe, Step, Way, way_of
+from .probe import MAX_INDIRECT_PROBES, BadDirection, IndirectProbe, Paths, Probe, Step, bad_direction
 from .records import ACCUSATIONS, BEAT_US, HERE, LIVING, MOST_BEAT, MOST_LIFE, Record, State
 from .rules import (
     AGAIN_MOST,
-    BUDDIES,
-    CALLERS,
+    GOSSIP_FANOUT,
     HEALTH_MOST,
     HELPERS,
     JOIN_PERIODS,
     LOST_EVERY,
-    NEWS_TO,
+    LOST_PROBERS,
     PROBE_AGAIN,
     PROBE_HELP,
     PROBE_LAST,
     REFRESHED,
+    SUSPECT_PROBERS,
     SYNC_PARTS,
     Rules,
 )
-from .twins import TOLD_PERIODS, Twins
 from .view import Change, View
 
 SILENT_PERIODS = 3  # without an answer: nobody hears this member, or it hears nobody
-PATH_PERIODS = 20  # for which the other end's word on a path holds
-FAREWELLS = 8  # members told at once that this one has left
+PATH_PERIODS = 20  # for which the other end's report of a bad path holds
+LEAVE_FANOUT = 8  # members that are sent the record LEFT at the end
 MOST_SYNCS = 4  # members that wait for a whole view here; others ask elsewhere
 ANSWERS = frozenset((Topic.ACK, Topic.RELAYED, Topic.NACK, Topic.VIEW))
 
-Acts = list[Tell]
+Acts = list[SendDatagram]
 
 
 class Side(Enum):
-    """What part of the tier a member sees."""
+    """Which side of a partition a member is on, as far as it sees."""
 
     MAJORITY = "majority"
     MINORITY = "minority"
@@ -55,7 +60,7 @@
     heard: int = 0
     bytes: int = 0
     late_ticks: int = 0
-    accused: int = 0  # words heard that this member is suspected or dead
+    accused: int = 0  # records received that say this member is suspected or dead
 
 
 class Membership:
@@ -73,23 +78,23 @@
         self.jump = 0  # beats over the own clock's, taken to be above an accusation's
         self.probe: Probe | None = None
         self.order: list[int] = []
-        self.errands: dict[int, Errand] = {}
-        self.again: dict[int, tuple[int, int, int]] = {}  # by errand: member, since when, its beat then
-        self.errand = 0
+        self.indirect_probes: dict[int, IndirectProbe] = {}
+        self.again: dict[int, tuple[int, int, int]] = {}  # by sequence: member, time and beat of the ping
+        self.sequence = 0
         self.cursor = 0
-        self.self_news = 0  # times the own record is still to be told first
+        self.own_updates = 0  # times that the own record is still to be sent
         self.heard_at = self.answered_at = -1
-        self.woke_at = -1  # in doubt since then, until others have answered
-        self.since_woke: set[int] = set()
+        self.resumed_at = -1  # when a stall ended; -1 once others have answered since
+        self.answered_since: set[int] = set()
         self.settled = False  # a whole view has come, or nobody gave one
         self.parts: set[int] = set()
         self.asked_view_at = -1
         self.ask_again_at = 0
         self.syncs: deque[tuple[int, int]] = deque()  # member, next part
-        self.tokens, self.paid_at = rules.out_per_s, 0  # datagrams that may be said on its own account
+        self.tokens, self.paid_at = rules.out_per_s, 0  # datagrams that may be sent unasked
         self.leaving = False
         self.superseded = 0  # life of the newer process of this number
-        self.twins = Twins(rules)
+        self.duplicates = DuplicateNumbers(rules)
 
     # -- what holds -------------------------------------------------------------------
 
@@ -97,7 +102,7 @@
         self.began = self.ticked_at = self.period_at = now
         self.probe_at = now + self.rng.randrange(self.rules.period)
         self.lost_at = now + self.rules.period
-        self.self_news = self.rules.sends
+        self.own_updates = self.rules.sends
 
     def beat(self, now: int) -> int:
         return min(MOST_BEAT, (now - self.began) // BEAT_US + self.jump)
@@ -114,11 +119,13 @@
         return not any(e.state in HERE for n, e in self.view.entries.items() if n != target)
 
     def doubts(self, now: int) -> bool:
-        """Whether this member's word on others is worth nothing now."""
-        return self.woke_at >= 0 or bool(self.superseded) or self.twins.beside(now) or not self.settled
+        """Whether this member may accuse nobody now."""
+        return (
+            self.resumed_at >= 0 or bool(self.superseded) or self.duplicates.beside(now) or not self.settled
+        )
 
     def side(self, now: int) -> Side:
-        if not self.settled or self.woke_at >= 0:
+        if not self.settled or self.resumed_at >= 0:
             return Side.UNKNOWN
         counts = self.view.counts()
         members = self.rules.members - counts[State.LEFT]
@@ -141,7 +148,7 @@
         return self.tokens >= 1.0
 
     def trouble(self, now: int) -> str:
-        """For the own readiness figures: what is wrong with this member's messages; it serves on."""
+        """What is wrong with this member's messages, for the readiness figures; it goes on serving."""
         if not self.settled or self.rules.members < 2:
             return ""
         since = SILENT_PERIODS * self.rules.period
@@ -153,18 +160,18 @@
 
     def tick(self, now: int) -> Acts:
         acts: Acts = []
-        self.look_at_stall(now)
+        self.check_stall(now)
         if now - self.period_at >= self.rules.period:
             self.period_at = now
             self.turn(now, acts)
-        self.look_at_probe(now, acts)
+        self.advance_probe(now, acts)
         if now >= self.probe_at and self.probe is None:
             self.next_probe(now, acts)
         if now >= self.lost_at:
             self.lost_at = now + LOST_EVERY * self.rules.period
-            self.call_lost(now, acts)
-        self.tell_news(now, acts)
-        self.tell_views(now, acts)
+            self.probe_lost(now, acts)
+        self.gossip(now, acts)
+        self.send_views(now, acts)
         if not self.doubts(now) and (self.answered(now) or self.alone(self.number)):
             self.view.expire(now)
         elif not self.alone(self.number):
@@ -172,15 +179,18 @@
         self.ticked_at = now
         return acts
 
-    def look_at_stall(self, now: int) -> None:
-        """Danger: one that stood still finds every answer late, and everybody dead."""
+    def check_stall(self, now: int) -> None:
+        """Detect that this process stood still.
+
+        Danger: after a stall every answer is late, and everybody would seem dead.
+        """
         late = now - self.ticked_at - self.rules.tick
         if late <= self.rules.period // 2:
             return
         self.figures.late_ticks += 1
         self.health = min(HEALTH_MOST, self.health + 1)
-        self.woke_at, self.probe, self.probe_at = now, None, now
-        self.since_woke.clear()
+        self.resumed_at, self.probe, self.probe_at = now, None, now
+        self.answered_since.clear()
         self.again.clear()
         self.view.put_off(late)
         self.view.vouching_from = -1
@@ -193,12 +203,12 @@
                 self.view.vouching_from = now
         else:
             self.view.vouching_from = -1
-        for errand in [n for n, e in self.errands.items() if now - e.began >= rules.period]:
-            del self.errands[errand]
+        for sequence in [n for n, e in self.indirect_probes.items() if now - e.began >= rules.period]:
+            del self.indirect_probes[sequence]
         self.paths.sweep(now, set(self.view.here()), PATH_PERIODS * rules.period)
-        self.twins.sweep(now)
-        self.view.stand_ins = self.twins.stand_ins(now)
-        self.look_again(now, acts)
+        self.duplicates.sweep(now)
+        self.view.stand_ins = self.duplicates.stand_ins(now)
+        self.probe_watched(now, acts)
         if not self.settled:
             self.join(now, acts)
         elif now >= self.ask_again_at and any(e.state is State.UNKNOWN for e in self.view.entries.values()):
@@ -217,13 +227,13 @@
     def ask_view(self, now: int, member: int, acts: Acts) -> None:
         self.asked_view_at = now
         self.parts.clear()
-        self.say(now, member, Topic.SYNC, acts)
+        self.send(now, member, Topic.SYNC, acts)
 
     # -- probing ----------------------------------------------------------------------
 
     def next_number(self) -> int:
-        self.errand = (self.errand + 1) & 0xFFFF
-        return self.errand
+        self.sequence = (self.sequence + 1) & 0xFFFF
+        return self.sequence
 
     def next_probe(self, now: int, acts: Acts) -> None:
         """Each in turn, in an order drawn anew each round; nobody waits longer than two rounds."""
@@ -249,9 +259,9 @@
         )
         steps = [(now + int(part * period * stretch), step) for part, step in parts]
         self.probe = Probe(target, number, now, claim, steps)
-        self.say(now, target, Topic.PING, acts, errand=number)
+        self.send(now, target, Topic.PING, acts, sequence=number)
 
-    def look_at_probe(self, now: int, acts: Acts) -> None:
+    def advance_probe(self, now: int, acts: Acts) -> None:
         probe = self.probe
         if probe is None or now < probe.steps[0][0]:
             return
@@ -264,7 +274,7 @@
         if probe.reached:
             return
         if step is not Step.HELP:
-            self.say(now, probe.target, Topic.PING, acts, errand=probe.errand)
+            self.send(now, probe.target, Topic.PING, acts, sequence=probe.sequence)
         if step is not Step.PING:
             self.ask_others(now, probe, acts)
 
@@ -274,7 +284,7 @@
         bad = bool(self.path(now, probe.target))
         for helper in self.rng.sample(others, min(HELPERS, len(others))):
             probe.helpers.add(helper)
-            self.say(now, helper, Topic.ASK, acts, probe.errand, probe.target, int(bad))
+            self.send(now, helper, Topic.ASK, acts, probe.sequence, probe.target, int(bad))
 
     def failed(self, now: int, probe: Probe) -> None:
         entry = self.view.entries[probe.target]
@@ -287,91 +297,91 @@
             return
         self.view.accuse(now, probe.target, probe.claim)
 
-    def look_again(self, now: int, acts: Acts) -> None:
-        """Beside the probe: paths under watch, and suspects, whom a few of all ask directly."""
-        for errand, (member, began, claim) in list(self.again.items()):
-            del self.again[errand]
+    def probe_watched(self, now: int, acts: Acts) -> None:
+        """Beside the probe: ping members on watched paths, and suspects with a small probability each."""
+        for sequence, (member, began, claim) in list(self.again.items()):
+            del self.again[sequence]
             entry = self.view.entries[member]
             if entry.direct_at >= began or not self.answered(now) or self.doubts(now):
                 continue
             if entry.state is State.SUSPECTED:
                 self.view.accuse(now, member, claim)
             elif entry.state in HERE:
-                self.struck(now, member)
+                self.path_failed(now, member)
         if not self.pay(now):
             return
         some = list(self.paths.watched)[: AGAIN_MOST // 2]
         for member in some:  # to the end of the line, so that each is tried
             self.paths.watched[member] = self.paths.watched.pop(member)
-        odds = BUDDIES / max(1.0, len(self.view.here()))
+        odds = SUSPECT_PROBERS / max(1.0, len(self.view.here()))
         some += [n for n in sorted(self.view.suspects) if self.rng.random() < odds][: AGAIN_MOST - len(some)]
         for member in some:
             number, entry = self.next_number(), self.view.entries[member]
             self.again[number] = (member, now, self.view.reckoned(entry, now))
-            self.say(now, member, Topic.PING, acts, errand=number)
+            self.send(now, member, Topic.PING, acts, sequence=number)
 
-    def struck(self, now: int, member: int, way: Way | None = None) -> None:
-        if self.paths.strike(now, member, way):
+    def path_failed(self, now: int, member: int, way: BadDirection | None = None) -> None:
+        if self.paths.add_failure(now, member, way):
             self.view.change("path bad", member, self.view.entries[member].record, self.number, 0, now)
 
-    def call_lost(self, now: int, acts: Acts) -> None:
+    def probe_lost(self, now: int, acts: Acts) -> None:
         """A healed cut, or a member that nobody here has heard of.
 
         Danger: where one of hundreds is lost and all call it, its inbox is full when it comes back.
         """
         lost = [n for n, e in self.view.entries.items() if e.state in (State.DEAD, State.UNKNOWN)]
-        if lost and self.rng.random() < CALLERS * len(lost) / (1 + len(self.view.here())):
-            self.say(now, self.rng.choice(lost), Topic.PING, acts, errand=self.next_number())
+        if lost and self.rng.random() < LOST_PROBERS * len(lost) / (1 + len(self.view.here())):
+            self.send(now, self.rng.choice(lost), Topic.PING, acts, sequence=self.next_number())
 
-    # -- hearing ----------------------------------------------------------------------
+    # -- receiving ----------------------------------------------------------------------
 
-    def heard(self, now: int, letter: Letter) -> Acts:
+    def receive(self, now: int, received: ReceivedMessage) -> Acts:
         acts: Acts = []
-        message = messages.read(letter.topic, letter.body, self.rules.members)
-        if message is None or letter.sender == self.number:
+        message = messages.read(received.topic, received.body, self.rules.members)
+        if message is None or received.sender == self.number:
             self.envelope.refuse("unreadable")
             return acts
-        sender = letter.sender
+        sender = received.sender
         self.figures.heard += 1
         self.heard_at = now
         healed = self.direct(now, sender, message)
         for number, record in message.records:
             if number == self.number:
-                self.about_self(now, record)
+                self.receive_about_self(now, record)
             else:
                 self.view.take(now, number, record, sender)
         if message.topic in ANSWERS:
             self.was_answered(now, sender, message)
         elif message.topic in (Topic.PING, Topic.NEWS) and message.about != NOBODY:
-            self.twin_told_of(now, message.about, message.extra)
+            self.duplicate_reported(now, message.about, message.extra)
         self.answer(now, sender, message, acts)
         if healed and now - self.asked_view_at >= self.rules.period:
             self.ask_view(now, sender, acts)
         return acts
 
     def direct(self, now: int, sender: int, message: Message) -> bool:
-        """Its own word that it lives; true if it was thought dead."""
+        """Take in the sender's own heartbeat; true if it was thought dead."""
         entry = self.view.entries[sender]
         entry.direct_at = now
         if message.life < entry.record.life:
-            self.twins.note(now, sender, now)
+            self.duplicates.note(now, sender, now)
             return False
         healed = entry.state is State.DEAD and message.life == entry.record.life
         state = State.LEAVING if message.flags & messages.LEAVING else State.ALIVE
         self.view.take(now, sender, Record(message.life, message.beat, state), sender)
         return healed
 
-    def about_self(self, now: int, told: Record) -> None:
+    def receive_about_self(self, now: int, told: Record) -> None:
         if told.life > self.life:
             self.later_life(now, told)
         elif told.life == self.life and told.state is State.LEFT and not self.leaving:
-            self.life += 1  # a word that cannot be refuted within this life
-            self.self_news = self.rules.sends
+            self.life += 1  # LEFT cannot be refuted within one life
+            self.own_updates = self.rules.sends
         elif told.life == self.life and told.state in ACCUSATIONS:
             self.figures.accused += 1
             self.jump += max(0, told.beat + 1 - self.beat(now))
-            self.self_news = self.rules.sends
-            if self.woke_at < 0 and self.figures.accused % 4 == 1:
+            self.own_updates = self.rules.sends
+            if self.resumed_at < 0 and self.figures.accused % 4 == 1:
                 self.health = min(HEALTH_MOST, self.health + 1)
 
     def later_life(self, now: int, told: Record) -> None:
@@ -380,39 +390,39 @@
         ended = told.state in (State.DEAD, State.LEFT)
         if told.life < MOST_LIFE and (newborn or (ended and not self.leaving)):
             self.life, self.superseded = told.life + 1, 0
-            self.self_news = self.rules.sends
+            self.own_updates = self.rules.sends
         else:
             if not self.superseded:
                 self.view.change("superseded", self.number, told, self.number, 0, now)
             self.superseded = told.life
-            self.twin_seen(now)
+            self.duplicate_seen(now)
 
-    def twin_seen(self, now: int) -> None:
-        if self.twins.own_seen(now):
+    def duplicate_seen(self, now: int) -> None:
+        if self.duplicates.own_seen(now):
             self.view.change("number used twice", self.number, self.own(now), self.number, 0, now)
 
-    def twin_told_of(self, now: int, number: int, age_ms: int) -> None:
+    def duplicate_reported(self, now: int, number: int, age_ms: int) -> None:
         if number != self.number:
-            self.twins.note(now, number, now - age_ms * 1000)
-        elif age_ms * 1000 <= TOLD_PERIODS * self.rules.period:
-            self.twin_seen(now)
+            self.duplicates.note(now, number, now - age_ms * 1000)
+        elif age_ms * 1000 <= REPORT_PERIODS * self.rules.period:
+            self.duplicate_seen(now)
 
     def was_answered(self, now: int, sender: int, message: Message) -> None:
         self.answered_at = now
-        if self.woke_at >= 0:
-            self.since_woke.add(sender)
-            if len(self.since_woke) >= min(HELPERS, len(self.view.here())):
-                self.woke_at = -1
+        if self.resumed_at >= 0:
+            self.answered_since.add(sender)
+            if len(self.answered_since) >= min(HELPERS, len(self.view.here())):
+                self.resumed_at = -1
         probe = self.probe
         if probe is not None:
             probe.answered = True
 
     def answer(self, now: int, sender: int, message: Message, acts: Acts) -> None:
-        topic, errand = message.topic, message.errand
+        topic, sequence = message.topic, message.sequence
         if topic is Topic.PING:
-            self.say(now, sender, Topic.ACK, acts, errand)
+            self.send(now, sender, Topic.ACK, acts, sequence)
         elif topic is Topic.ACK:
-            self.acked(now, sender, errand)
+            self.acked(now, sender, sequence)
         elif topic is Topic.ASK:
             self.help(now, sender, message, acts)
         elif topic is Topic.FOR:
@@ -422,11 +432,11 @@
             other = self.view.entries.get(message.about)
             if other is not None and other.direct_at >= 0:
                 heard_ms = min(messages.FOREVER - 1, (now - other.direct_at) // 1000)
-            self.say(now, sender, Topic.ACK_FOR, acts, errand, message.about, heard_ms)
+            self.send(now, sender, Topic.ACK_FOR, acts, sequence, message.about, heard_ms)
         elif topic is Topic.ACK_FOR:
-            done = self.errands.pop(errand, None)
+            done = self.indirect_probes.pop(sequence, None)
             if done is not None and done.target == sender:
-                self.say(now, done.asker, Topic.RELAYED, acts, done.errand, sender, message.extra)
+                self.send(now, done.asker, Topic.RELAYED, acts, done.sequence, sender, message.extra)
         elif topic is Topic.RELAYED:
             self.relayed(now, message)
         elif topic is Topic.SYNC:
@@ -436,12 +446,12 @@
             self.parts.add(message.about)
             self.settled = self.settled or len(self.parts) >= message.extra
 
-    def acked(self, now: int, sender: int, errand: int) -> None:
+    def acked(self, now: int, sender: int, sequence: int) -> None:
         if self.paths.good(sender):
             self.view.change("path good", sender, self.view.entries[sender].record, self.number, 0, now)
-        self.again.pop(errand, None)
+        self.again.pop(sequence, None)
         probe = self.probe
-        if probe is not None and probe.errand == errand and probe.target == sender:
+        if probe is not None and probe.sequence == sequence and probe.target == sender:
             if sender in self.view.stand_ins:
                 return
             self.probe = None
@@ -450,109 +460,112 @@
     def relayed(self, now: int, message: Message) -> None:
         """Danger: a bad path between two members looks like the death of one of them."""
         probe = self.probe
-        if probe is None or probe.errand != message.errand or probe.target != message.about:
+        if probe is None or probe.sequence != message.sequence or probe.target != message.about:
             return
         if not probe.reached:
             probe.reached = True
             self.health = max(0, self.health - 1)
-            self.struck(now, probe.target, way_of(message.extra, now - probe.began))
+            self.path_failed(now, probe.target, bad_direction(message.extra, now - probe.began))
 
     def help(self, now: int, sender: int, message: Message, acts: Acts) -> None:
-        """Ping somebody for another; who asks is told at once that it is heard."""
+        """Probe a member for another one, which gets a nack at once: it knows then that it is received."""
         if message.about in (NOBODY, self.number, sender):
             return
-        self.say(now, sender, Topic.NACK, acts, message.errand, message.about)
-        if len(self.errands) < MOST_ERRANDS:
+        self.send(now, sender, Topic.NACK, acts, message.sequence, message.about)
+        if len(self.indirect_probes) < MAX_INDIRECT_PROBES:
             number = self.next_number()
-            self.errands[number] = Errand(sender, message.errand, message.about, now)
-            self.say(now, message.about, Topic.FOR, acts, number, sender, message.extra)
+            self.indirect_probes[number] = IndirectProbe(sender, message.sequence, message.about, now)
+            self.send(now, message.about, Topic.FOR, acts, number, sender, message.extra)
 
-    # -- telling ----------------------------------------------------------------------
+    # -- sending ----------------------------------------------------------------------
 
-    def say(
+    def send(
         self,
         now: int,
         to: int,
         topic: Topic,
         acts: Acts,
-        errand: int = 0,
+        sequence: int = 0,
         about: int = NOBODY,
         extra: int = 0,
         records: list[tuple[int, Record]] | None = None,
     ) -> None:
-        if topic in (Topic.PING, Topic.NEWS) and (twin := self.twins.newest(now)) is not None:
-            about, extra = twin
+        if topic in (Topic.PING, Topic.NEWS) and (duplicate := self.duplicates.newest(now)) is not None:
+            about, extra = duplicate
         carried = records if records is not None else self.carried(now, to, topic)
         flags = messages.LEAVING if self.leaving else 0
-        told = Message(topic, self.life, self.beat(now), flags, errand, about, extra, tuple(carried))
+        told = Message(topic, self.life, self.beat(now), flags, sequence, about, extra, tuple(carried))
         data = self.envelope.write(topic, messages.write(told))
         self.figures.sent += 1
         self.tokens -= 1.0
         self.figures.bytes += len(data)
-        acts.append(Tell(to, data))
+        acts.append(SendDatagram(to, data))
 
     def carried(self, now: int, to: int, topic: Topic) -> list[tuple[int, Record]]:
-        """What goes along: what the receiver must know of itself, news, and a few others in turn."""
+        """Records to piggyback: accusations of the receiver, updates, and a few other members in turn."""
         told = []
         entry = self.view.entries[to]
-        if entry.record.state in ACCUSATIONS or to in self.twins.seen:
-            told.append((to, self.view.told_as(now, to)))
-        told += self.view.next_news(now, RECORDS_SEALED - len(told))
+        if entry.record.state in ACCUSATIONS or to in self.duplicates.seen:
+            told.append((to, self.view.record_to_send(now, to)))
+        told += self.view.next_updates(now, RECORDS_SEALED - len(told))
         if topic in (Topic.PING, Topic.ACK):
             numbers = list(self.view.entries)
             for _ in range(min(REFRESHED, RECORDS_SEALED - len(told), len(numbers))):
                 self.cursor = (self.cursor + 1) % len(numbers)
                 number = numbers[self.cursor]
-                if number != to and self.view.tellable(now, number):
-                    told.append((number, self.view.told_as(now, number)))
+                if number != to and self.view.may_send(now, number):
+                    told.append((number, self.view.record_to_send(now, number)))
         return told
 
-    def tell_news(self, now: int, acts: Acts) -> None:
-        """Danger: news that waits for the next ping goes round too late for whoever is accused."""
-        if (not self.view.news and self.self_news <= 0) or not self.pay(now):
+    def gossip(self, now: int, acts: Acts) -> None:
+        """Send updates to a few random members.
+
+        Danger: updates that wait for the next ping spread too late for the accused to refute.
+        """
+        if (not self.view.updates and self.own_updates <= 0) or not self.pay(now):
             return
         here = [n for n in self.view.here() if self.view.state_of(n) in LIVING]
-        self.self_news -= 1
-        for member in self.rng.sample(here, min(NEWS_TO, len(here))):
-            self.say(now, member, Topic.NEWS, acts)
+        self.own_updates -= 1
+        for member in self.rng.sample(here, min(GOSSIP_FANOUT, len(here))):
+            self.send(now, member, Topic.NEWS, acts)
 
-    def tell_views(self, now: int, acts: Acts) -> None:
-        """Parts of a whole view to one who asked: a few a tick, so that nobody's inbox is filled."""
+    def send_views(self, now: int, acts: Acts) -> None:
+        """Send parts of the whole view to a member that asked: a few a tick, so that no inbox overflows."""
         if not self.syncs or not self.pay(now):
             return
         to, part = self.syncs[0]
-        known = [n for n in self.view.entries if n != to and self.view.tellable(now, n)]
+        known = [n for n in self.view.entries if n != to and self.view.may_send(now, n)]
         parts = max(1, -(-len(known) // RECORDS_SEALED))
         for number in range(part, min(parts, part + SYNC_PARTS)):
             some = known[number * RECORDS_SEALED : (number + 1) * RECORDS_SEALED]
-            told = [(n, self.view.told_as(now, n)) for n in some]
-            self.say(now, to, Topic.VIEW, acts, about=number, extra=parts, records=told)
+            told = [(n, self.view.record_to_send(now, n)) for n in some]
+            self.send(now, to, Topic.VIEW, acts, about=number, extra=parts, records=told)
         if part + SYNC_PARTS >= parts:
             self.syncs.popleft()
         else:
             self.syncs[0] = (to, part + SYNC_PARTS)
 
     def stop(self, now: int) -> Acts:
-        """SIGTERM: it serves on for a while; others must not take its silence for a death."""
+        """SIGTERM: announce LEAVING, so that the coming silence is not taken for a death."""
         self.leaving = True
-        self.self_news = self.rules.sends
+        self.own_updates = self.rules.sends
         acts: Acts = []
         if not self.superseded:
-            self.tell_news(now, acts)
+            self.gossip(now, acts)
         return acts
 
     def left(self, now: int) -> Acts:
-        """The process ends now.  An older one of two says nothing: its number lives on."""
+        """The process ends now: announce LEFT, unless a newer process has this number."""
         acts: Acts = []
         if self.superseded:
             return acts
         here = self.view.here()
         gone = Record(self.life, self.beat(now), State.LEFT)
-        for member in self.rng.sample(here, min(FAREWELLS, len(here))):
-            self.say(now, member, Topic.NEWS, acts, records=[(self.number, gone)])
+        for member in self.rng.sample(here, min(LEAVE_FANOUT, len(here))):
+            self.send(now, member, Topic.NEWS, acts, records=[(self.number, gone)])
         return acts
 
     def changes(self) -> list[Change]:
-        """What changed since this was asked last."""
+        """Changes since the last call."""
         done, self.view.changes = self.view.changes, []
         return done
--- a/vetchusher/membership/probe.py
+++ b/vetchusher/membership/probe.py
@@ -1,4 +1,4 @@
-"""What one member has asked of others and waits for: its probe, errands for others, paths under watch."""
+"""Requests under way: the own probe, indirect probes for others, and paths that fail directly."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from enum import Enum
 
 from .messages import FOREVER
-from .rules import PATH_STRIKES
+from .rules import PATH_FAILURES
 
 MOST_WATCHED = 32  # paths; beyond them the next failures are not looked into
-MOST_ERRANDS = 128  # pings for others under way; beyond them who asks is not helped
+MAX_INDIRECT_PROBES = 128  # under way for others; requests beyond these are ignored
 
 
-class Way(Enum):
+class BadDirection(Enum):
     """Which direction of a path is bad, as far as is known."""
 
     TO = "it does not hear us"
@@ -36,7 +36,7 @@
     """
 
     target: int
-    errand: int
+    sequence: int
     began: int
     claim: int
     steps: list[tuple[int, Step]]
@@ -46,40 +46,43 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Errand:
+class IndirectProbe:
     """A ping made for another member; gone when answered, or after a period."""
 
     asker: int
-    errand: int  # the asker's number of it
+    sequence: int  # of the asker's probe
     target: int
     began: int
 
 
 @dataclass(slots=True)
 class Path:
-    strikes: int = 0
-    way: Way = Way.TO
+    failures: int = 0
+    way: BadDirection = BadDirection.TO
     bad_since: int = -1
 
 
 @dataclass(slots=True)
 class Paths:
-    """Paths to members that others reach.  An entry goes when the member answers directly, or is not there
-    any more; what other ends told goes `told_us` after it was told last."""
+    """Paths to members that others reach.
+
+    An entry is removed when the member answers directly or is gone; what the other end reported is removed
+    `told_us` after its last report.
+    """
 
     watched: dict[int, Path] = field(default_factory=dict)
     told: dict[int, int] = field(default_factory=dict)  # by member: when it said that it lacks our answers
 
-    def strike(self, now: int, member: int, way: Way | None = None) -> bool:
-        """One direct failure more; true if the path has just become bad."""
+    def add_failure(self, now: int, member: int, way: BadDirection | None = None) -> bool:
+        """Count a direct failure; true if the path has just become bad."""
         path = self.watched.get(member)
         if path is None:
             if len(self.watched) >= MOST_WATCHED:
                 return False
             path = self.watched[member] = Path()
-        path.strikes += 1
+        path.failures += 1
         path.way = way or path.way
-        if path.bad_since < 0 and path.strikes >= PATH_STRIKES:
+        if path.bad_since < 0 and path.failures >= PATH_FAILURES:
             path.bad_since = now
             return True
         return False
@@ -95,7 +98,7 @@
         if path is not None and path.bad_since >= 0:
             return path.way.value
         told = self.told.get(member, -1)
-        return Way.FROM.value if told >= 0 and now - told < told_us else ""
+        return BadDirection.FROM.value if told >= 0 and now - told < told_us else ""
 
     def sweep(self, now: int, here: set[int], told_us: int) -> None:
         for member in [m for m in self.watched if m not in here]:
@@ -104,6 +107,6 @@
             del self.told[member]
 
 
-def way_of(heard_ms: int, asked_us: int) -> Way:
+def bad_direction(heard_ms: int, asked_us: int) -> BadDirection:
     """From how long ago the member says it heard us last, and since when we ask it."""
-    return Way.FROM if heard_ms != FOREVER and heard_ms * 1000 <= asked_us else Way.TO
+    return BadDirection.FROM if heard_ms != FOREVER and heard_ms * 1000 <= asked_us else BadDirection.TO
--- a/vetchusher/membership/rules.py
+++ b/vetchusher/membership/rules.py
@@ -1,26 +1,26 @@
-"""How often members probe, how long they wait, and what follows from these for everybody."""
+"""Timing of the membership protocol: probe periods, suspicion, and the bounds that follow from them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import ceil, log, log2
 
-HELPERS = 3  # asked at once where a ping was not answered; accusers beside the first that bring `shortest`
-NEWS_TO = 2  # members that one gossip tick tells
-TICKS = 5  # in a period: news is told, waits are looked at
+HELPERS = 3  # indirect probes at once; independent accusers beside the first that give `shortest`
+GOSSIP_FANOUT = 2  # members that one gossip tick sends to
+TICKS = 5  # in a period: gossip is sent, deadlines are checked
 HEALTH_MOST = 8  # of Lifeguard's score of one's own troubles
 # Steps of a probe, in parts of a period.  Danger: with 7% lost, one ping and three helpers fail in 2 of 1,000
-# probes; at hundreds of members the tier would talk of nothing but false suspicions.
+# probes; at hundreds of members false suspicions would fill all messages.
 PROBE_AGAIN = 0.2  # ping again
-PROBE_HELP = 0.4  # ask others
-PROBE_LAST = 0.6  # ping again and ask further others
-PATH_STRIKES = 6  # direct pings in a row that fail while others reach the member: the path is bad
-LOST_EVERY = 2  # periods between two calls to members taken to be lost
+PROBE_HELP = 0.4  # probe indirectly
+PROBE_LAST = 0.6  # ping again, and probe through further members
+PATH_FAILURES = 6  # direct pings in a row that fail while others reach the member: the path is bad
+LOST_EVERY = 2  # periods between two probes of members taken to be lost
 AGAIN_MOST = 4  # members a period pinged beside the probe: bad paths, suspects
-CALLERS = 3.0  # calls to a lost member in that time, over all
-BUDDIES = 4.0  # members that ping a suspect in a period, over all
-SYNC_PARTS = 4  # parts of a view told at a tick
-JOIN_PERIODS = 5  # after which a newcomer whom nobody tells a whole view goes by what it heard
+LOST_PROBERS = 3.0  # probes of a lost member in that time, over the cluster
+SUSPECT_PROBERS = 4.0  # members that ping a suspect in a period, over the cluster
+SYNC_PARTS = 4  # parts of a view sent at a tick
+JOIN_PERIODS = 5  # after which a newcomer goes on without a whole view
 REFRESHED = 6  # records that a ping or its answer carries beside news
 
 
@@ -30,14 +30,14 @@
 
     :param pause: how long a member may stand still without being declared dead
     :param drift: by which part of the true pace any ingress's clock may be wrong
-    :param twins: how long two processes of one number are an upgrade
+    :param upgrade: how long two processes of one number are an upgrade
     """
 
     members: int
     period: int = 1_000_000
     pause: int = 2_000_000
     drift: float = 0.02
-    twins: int = 60_000_000
+    upgrade: int = 60_000_000
 
     @property
     def tick(self) -> int:
@@ -45,8 +45,8 @@
 
     @property
     def spreading(self) -> int:
-        """News goes round the tier: each tick who knows it tells two more, and some are lost."""
-        return self.tick * (3 + ceil(1.25 * log(max(2, self.members)) / log(1 + NEWS_TO)))
+        """Time for an update to reach everybody, while some messages are lost."""
+        return self.tick * (3 + ceil(1.25 * log(max(2, self.members)) / log(1 + GOSSIP_FANOUT)))
 
     @property
     def shortest(self) -> int:
@@ -84,11 +84,11 @@
 
     @property
     def out_per_s(self) -> float:
-        """Datagrams a second that a member says at most, whatever its tier's size; answers alone go beyond.
+        """Datagrams a second that a member sends at most, whatever the size of its cluster, beside answers.
 
         Receivers are drawn evenly, so it takes in about as many.
         """
-        return (NEWS_TO * TICKS + HELPERS + 2) * 1e6 / self.period
+        return (GOSSIP_FANOUT * TICKS + HELPERS + 2) * 1e6 / self.period
 
     def fault(self) -> tuple[str, str] | None:
         """The field and what is wrong with it."""
--- a/vetchusher/membership/view.py
+++ b/vetchusher/membership/view.py
@@ -1,4 +1,8 @@
-"""One member's view of the others: records merged, suspicions and their time, what has to be told on."""
+"""One member's view of the others: merged records, suspicions and their deadlines, updates to gossip.
+
+Records merge by `records.later`, which is commutative, associative and idempotent, so views converge
+whatever the order of messages.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,12 @@
     """One member, as this one sees it.  Times in us on the own clock.
 
     :param anchor: a beat that the member had at the latest at `anchor_at`; reckoned on from there
-    :param source: who told the record; the member itself where it was heard directly
+    :param source: who sent the record; the member itself where it came directly
     :param accusers: whose probes failed, since `accused_at`
     """
 
     record: Record = field(default_factory=Record)
-    state: State = State.UNKNOWN  # as shown: a death told out of the blue is a suspicion first
+    state: State = State.UNKNOWN  # as shown: a death reported without a suspicion is one first
     since: int = 0
     anchor: int = 0
     anchor_at: int = 0
@@ -45,18 +49,17 @@
 class View:
     """All members but oneself, by number: as many entries as the settings count, none ever removed.
 
-    `news` holds numbers whose records are still to be told, with the times they have been: an entry goes
-    after `Rules.sends`.
+    `updates` counts how often each changed record has been sent: an entry is removed after `Rules.sends`.
     """
 
     def __init__(self, rules: Rules, number: int, rng: random.Random) -> None:
         self.rules, self.number, self.rng = rules, number, rng
         self.entries = {n: Entry() for n in range(rules.members) if n != number}
-        self.news: dict[int, int] = {}
+        self.updates: dict[int, int] = {}
         self.changes: list[Change] = []
         self.suspects: set[int] = set()  # numbers under suspicion here
-        self.vouching_from = -1  # since when others have answered; below nothing: nobody does
-        self.muted_until = -1  # a cut has healed: accusations are neither told nor believed
+        self.vouching_from = -1  # since when others have answered; -1: nobody does
+        self.muted_until = -1  # a partition has healed: accusations are neither sent nor believed
         self.stand_ins: set[int] = set()  # an older process answers for them: nobody knows of the newer one
         self.refuted = 0  # suspicions that ended well
         self.false_deaths = 0  # deaths that were taken back
@@ -97,7 +100,7 @@
     # -- merging ----------------------------------------------------------------------
 
     def take(self, now: int, number: int, told: Record, source: int) -> None:
-        """Merge what somebody says of another member."""
+        """Merge a record that `source` sent about another member."""
         entry = self.entries[number]
         accusation = told.state in ACCUSATIONS
         if accusation and now < self.muted_until:
@@ -110,7 +113,7 @@
         stands = later(told, entry.record)
         if stands is entry.record or stands.key == entry.record.key:
             if accusation and same and entry.record.state in LIVING:
-                self.news[number] = 0  # somebody accuses one of whom later word is here
+                self.updates[number] = 0  # the accuser lacks a later record that is here
             return
         self.adopt(now, number, entry, told, source)
 
@@ -131,7 +134,7 @@
             entry.anchor, entry.anchor_at = told.beat, now
         if before is told.state and not reborn:
             return  # a later beat alone is no news
-        self.news[number] = 0
+        self.updates[number] = 0
         if before in ACCUSATIONS and told.state in LIVING and not reborn:
             self.refuted += before is State.SUSPECTED
             if before is State.DEAD:
@@ -159,7 +162,7 @@
             self.suspects.add(number)
             self.show(now, entry, State.SUSPECTED)
             self.change("suspected", number, told, told.by, 1, now)
-        self.news[number] = 0
+        self.updates[number] = 0
         self.witness(now, entry, number, told.by)
 
     def witness(self, now: int, entry: Entry, number: int, accuser: int) -> None:
@@ -168,7 +171,7 @@
             return
         if len(entry.accusers) <= HELPERS:
             entry.accusers.add(accuser)
-            self.news[number] = 0
+            self.updates[number] = 0
 
     def accuse(self, now: int, number: int, beat: int) -> None:
         """An own probe failed; nothing was heard of the member since it had that beat."""
@@ -213,7 +216,7 @@
             if entry.record.state is not State.DEAD:
                 by = min(entry.accusers, default=self.number)
                 entry.record = Record(entry.record.life, entry.record.beat, State.DEAD, by)
-                self.news[number] = 0
+                self.updates[number] = 0
             self.show(now, entry, State.DEAD)
             self.change("dead", number, entry.record, entry.record.by, accusers, now)
             self.end_suspicion(number, entry)
@@ -223,27 +226,27 @@
         for number in self.suspects:
             self.entries[number].accused_at += by
 
-    # -- telling ----------------------------------------------------------------------
+    # -- sending ----------------------------------------------------------------------
 
-    def told_as(self, now: int, number: int) -> Record:
-        """A record as it is told; any of a suspicion's accusers, so that all come to be known."""
+    def record_to_send(self, now: int, number: int) -> Record:
+        """A record as sent: of a suspicion with one of its accusers at random, so that all spread."""
         entry = self.entries[number]
         if entry.record.state is State.SUSPECTED and entry.accusers:
             by = self.rng.choice(sorted(entry.accusers))
             return Record(entry.record.life, entry.record.beat, State.SUSPECTED, by)
         return self.vouched(now, number)
 
-    def tellable(self, now: int, number: int) -> bool:
+    def may_send(self, now: int, number: int) -> bool:
         state = self.entries[number].record.state
         return state is not State.UNKNOWN and not (state in ACCUSATIONS and now < self.muted_until)
 
-    def next_news(self, now: int, most: int) -> list[tuple[int, Record]]:
-        """The least told first; each is told so many times."""
+    def next_updates(self, now: int, most: int) -> list[tuple[int, Record]]:
+        """The records sent least often first."""
         told = []
-        for number in sorted(self.news, key=self.news.__getitem__)[:most]:
-            self.news[number] += 1
-            if self.news[number] >= self.rules.sends:
-                del self.news[number]
-            if self.tellable(now, number):
-                told.append((number, self.told_as(now, number)))
+        for number in sorted(self.updates, key=self.updates.__getitem__)[:most]:
+            self.updates[number] += 1
+            if self.updates[number] >= self.rules.sends:
+                del self.updates[number]
+            if self.may_send(now, number):
+                told.append((number, self.record_to_send(now, number)))
         return told
--- a/vetchusher/membership/work.py
+++ b/vetchusher/membership/work.py
@@ -1,4 +1,4 @@
-"""Membership as a part of the work that ingresses share: events in, effects out, on the program's clock."""
+"""Membership as one `Part` of the shared work: events in, actions out, on the program's clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from vetchusher import interface as api
-from vetchusher.datagrams import Envelope, Letter, Pace, Tell
+from vetchusher.datagrams import Envelope, Pace, ReceivedMessage, SendDatagram
 
 from .member import Membership
 from .messages import TOPICS
@@ -14,14 +14,14 @@
 from .rules import Rules
 from .view import Change
 
-LOG_US = 500_000  # between two tellings of changes: a cut changes hundreds at once, and the log is bounded
+LOG_US = 500_000  # between two log lines of changes: a partition changes hundreds, and the log is bounded
 MOST_CHANGES = 64  # in a line
-CALM_PERIODS = 2  # between two views told to the module, at the least
+CALM_PERIODS = 2  # at the least, between two views handed to the decision module
 
 
 class MembersWork:
     """:param anchor_us: of the program's clock over the machine's monotonic one
-    :param envelope: the tier's, once work has begun
+    :param envelope: of the cluster's messages, once work has begun
     :param life: Unix ms of the start
     """
 
@@ -43,7 +43,7 @@
         self.member: Membership | None = None
         self.told: tuple[int, ...] = ()
         self.told_at = 0
-        self.changes: list[Change] = []  # to be logged; gone at the next telling
+        self.changes: list[Change] = []  # to be logged at the next line
         self.logged_at = 0
 
     def clock(self, now: int) -> int:
@@ -61,8 +61,8 @@
             done += self.lines()
         return done
 
-    def letter(self, now: int, letter: Letter) -> list[api.Action]:
-        return self.carried(self.member.heard(self.clock(now), letter)) if self.member else []
+    def receive(self, now: int, received: ReceivedMessage) -> list[api.Action]:
+        return self.carried(self.member.receive(self.clock(now), received)) if self.member else []
 
     def stop(self, now: int) -> list[api.Action]:
         return self.carried(self.member.stop(self.clock(now))) if self.member else []
@@ -83,7 +83,7 @@
         self.told, self.told_at = living, now
         return living
 
-    def carried(self, acts: list[Tell]) -> list[api.Action]:
+    def carried(self, acts: list[SendDatagram]) -> list[api.Action]:
         out: list[api.Action] = [api.Say(act.data, act.to) for act in acts]
         if self.member is not None:
             self.changes += self.member.changes()
@@ -125,7 +125,7 @@
             "life": member.life,
             "side": member.side(at).value,
             "trouble": member.trouble(at),
-            "number_used_twice": member.twins.own_told,
+            "number_used_twice": member.duplicates.own_reported,
             "doubts_itself": member.doubts(at),
             "health": member.health,
             "counts": counts,
--- a/vetchusher/settings/fleet.py
+++ b/vetchusher/settings/fleet.py
@@ -41,7 +41,7 @@
 
 
 def read_fleet(path: str, members: int, inbox_per_s: float = 0.0) -> FleetSettings:
-    """:param members: ingresses of the tier
+    """:param members: ingresses of the cluster
     :param inbox_per_s: datagrams that each takes in; 0: not bounded
     :raises SettingsError: with one line that names the file and the place
     """
