--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -7,7 +7,7 @@
 
 from testtools import TestCase
 
-from vetchusher.directory.naming import entrances_of, named
+from vetchusher.directory.naming import named, serving_ingresses
 from vetchusher.directory.neighbours import Place, neighbours
 from vetchusher.directory.presence import SERVING_US, Presence
 from vetchusher.discovery.reader import Listed, Reader, read_page, read_row
@@ -19,7 +19,7 @@
 S = 1_000_000
 
 
-class Ledgers(TestCase):
+class SourceTest(TestCase):
     def test_readers_that_pull_from_anybody_hold_what_the_author_wrote_under_their_stamp(self):
         for seed in range(60):
             rng = random.Random(seed)
@@ -121,16 +121,16 @@
         reader = Reader(self.zones, {})
         nodes = [("e1", "n"), ("e2", "n"), ("e3", "g")]
         entries = [listed(f"i-{n}", cold_left_ms=900) for n in range(40)]
-        first = {k: read_row(k, v, 0).unwrap().keeper for k, v in reader.read(entries, nodes).items()}
+        first = {k: read_row(k, v, 0).unwrap().cold_owner for k, v in reader.read(entries, nodes).items()}
         self.assertEqual({"e1", "e2"}, set(first.values()))
         again = reader.read(entries, [*nodes, ("e4", "n")])
-        self.assertEqual(first, {k: read_row(k, v, 0).unwrap().keeper for k, v in again.items()})
-        # Another reader goes on with the rows, and keepers named anew wait out the one before.
+        self.assertEqual(first, {k: read_row(k, v, 0).unwrap().cold_owner for k, v in again.items()})
+        # Another reader goes on with the rows, and cold_owners named anew wait out the one before.
         after = Reader(self.zones, again).read(entries, nodes[1:])
         for instance, value in after.items():
             server = read_row(instance, value, 5 * S).unwrap()
-            self.assertEqual("e2", server.keeper)
-            self.assertEqual(8 * S if first[instance] == "e1" else 5 * S, server.kept_from)
+            self.assertEqual("e2", server.cold_owner)
+            self.assertEqual(8 * S if first[instance] == "e1" else 5 * S, server.owned_from)
 
     def test_what_two_whole_reads_lack_is_gone_and_a_coldness_that_runs_down_changes_no_row(self):
         reader = Reader(self.zones, {})
@@ -150,7 +150,7 @@
             self.assertTrue(read_page(raw).failure().text.startswith("instances: "))
 
 
-class Entrance(TestCase):
+class ServingIngress(TestCase):
     def test_the_directory_names_ready_ones_of_the_region_and_all_where_those_are_too_few(self):
         presence = Presence()
         places = {"e1": ("n", "n-a"), "e2": ("n", "n-b"), "e3": ("g", "g-a"), "e4": ("g", "g-b")}
@@ -180,7 +180,7 @@
 
         def at_an_ingress(now, seq):
             told.publish((1, seq), presence.rows(now))
-            return named(entrances_of(told.values()), "n", "n-a")
+            return named(serving_ingresses(told.values()), "n", "n-a")
 
         self.assertEqual(["e1:1", "e2:1", "e3:1"], at_an_ingress(S, 1))
         for node, standing in (("e1", wire.LEAVING), ("e2", wire.READY)):
@@ -192,7 +192,7 @@
         self.assertEqual(["e2:1"], at_an_ingress(SERVING_US + 1, 3))
         self.assertEqual(3, len(told.rows))  # they still count among those that may have clients
         old = {"e9": b'["10.0.0.9","n-a","n"]'}  # a row of the form before says nothing of it
-        self.assertEqual([], entrances_of(old))
+        self.assertEqual([], serving_ingresses(old))
 
     def test_one_that_no_core_machine_answers_does_not_say_who_serves(self):
         follower = Subscriber(["a"], {"control": Source("control")})
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,9 +11,9 @@
 from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge
 from vetchusher.routing.claims import CLAIM, Claim, seen_of, what_next
 from vetchusher.routing.headers import passed_on
-from vetchusher.routing.patches import Patches, workers
 from vetchusher.routing.request import Answer, Cancel, Refuse, Send, WakeAt
 from vetchusher.routing.routes import allowed_regions
+from vetchusher.routing.subsets import Subsets, ingresses_per_server
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
 
 S = 1_000_000
@@ -376,12 +376,12 @@
         """
         now      0 ..... 1 s ........................ 5 s        6 s .......... 11 s
         cold     #####################################           evacuated ends, ###
-        keeper   (waits)  edge-1: 3 at once, 10 a second         edge-1 again
+        cold_owner   (waits)  edge-1: 3 at once, 10 a second         edge-1 again
         """
-        cold = server("c", cold_until=5 * S, keeper="edge-1", kept_from=S)
-        scene = Scene(cold, server("other", cold_until=5 * S, keeper="edge-2"))
+        cold = server("c", cold_until=5 * S, cold_owner="edge-1", owned_from=S)
+        scene = Scene(cold, server("other", cold_until=5 * S, cold_owner="edge-2"))
         choice = scene.choice
-        self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the keeper no more
+        self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the cold_owner no more
         choice.kept_until = 20 * S
         passed = {}
         for now in range(0, 5 * S, 10_000):
@@ -458,22 +458,25 @@
         zones = {f"edge-{n}": self.ZONES[n % 3] for n in ingresses}
         found = {}
         for me in zones:
-            patches = Patches(me)
-            patches.ingresses(zones)
-            found[me] = {s for s in servers if patches.holds(f"i-{s}", self.ZONES[s % 3], len(servers))}
+            subsets = Subsets(me)
+            subsets.ingresses(zones)
+            found[me] = {s for s in servers if subsets.holds(f"i-{s}", self.ZONES[s % 3], len(servers))}
         return found
 
     def test_all_servers_are_worked_by_as_many_and_one_change_moves_little(self):
         for ingresses, servers in ((29, 47), (29, 5), (3, 8), (170, 60), (12, 300)):
             before = self.held(range(ingresses), range(servers))
-            number, last = workers(ingresses, servers), f"edge-{ingresses - 1}"
+            number, last = ingresses_per_server(ingresses, servers), f"edge-{ingresses - 1}"
             for one in range(servers):
                 self.assertEqual(number, sum(1 for held in before.values() if one in held))
             after = self.held(range(ingresses - 1), range(servers))
             fewer = self.held(range(ingresses), range(servers - 1))
             for changed, some in (
-                (after, servers * abs(number - workers(ingresses - 1, servers)) + len(before[last])),
-                (fewer, servers * abs(number - workers(ingresses, servers - 1)) + number),
+                (
+                    after,
+                    servers * abs(number - ingresses_per_server(ingresses - 1, servers)) + len(before[last]),
+                ),
+                (fewer, servers * abs(number - ingresses_per_server(ingresses, servers - 1)) + number),
             ):
                 moved = sum(len(held ^ before[me]) for me, held in changed.items())
                 self.assertTrue(moved <= some, (ingresses, servers, moved, some))
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -39,7 +39,7 @@
     ack+2 |           |           |            |                 |         | r3
     ack+2 |           |           |            | 3 joined        |         |
 """
-# One cold server is all that a region has.  Its keeper is cut off with its clients, and goes on sending.
+# One cold server is all that a region has.  Its owner is cut off with its clients, and goes on sending.
 COLD = """
     s    | e1 gulf-a | e2 gulf-b | e3 delta-a | core | servers                                    | operator
     0    |           |           |            |      | gone 10.9.0.4, gone 10.9.1.1, gone 10.9.1.4 |
@@ -108,8 +108,8 @@
         self.finds("power", {"disks that sync nothing": "LOST"})
 
     def test_of_cold_servers(self):
-        wait, any_one = "a cold server's new keeper does not wait", "any ingress may send to a cold server"
-        self.finds("cold", {wait: "FAILBACK", any_one: "FAILBACK", "a keeper has no lease": "FAILBACK"})
+        wait, any_one = "a cold server's new owner does not wait", "any ingress may send to a cold server"
+        self.finds("cold", {wait: "FAILBACK", any_one: "FAILBACK", "a cold owner has no lease": "FAILBACK"})
 
     def test_of_servers_that_leave(self):
         self.finds("servers", {"the drained are used": "DRAIN", "evacuations are not heeded": "EVAC"})
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -156,19 +156,19 @@
 
     def test_a_lowered_word_counts_as_the_higher_one_until_it_is_heard(self):
         (tally,), holder = in_touch()
-        given, pool = holder.sources["e0"][0].given["t"], holder.pools["t"]
-        high = given.ceiling
+        grant, pool = holder.sources["e0"][0].grants["t"], holder.pools["t"]
+        high = grant.ceiling
         pool.level = -pool.shape.ahead - 5.0
         tally.own["t"].wanted = True
         tell(tally, holder, 400 * MS, lost=True)
-        self.assertEqual(high, given.ceiling)
+        self.assertEqual(high, grant.ceiling)
         tally.own["t"].wanted = True
         tell(tally, holder, 500 * MS)
         self.assertTrue(tally.own["t"].ceiling < high)
-        self.assertEqual(high, given.ceiling)
+        self.assertEqual(high, grant.ceiling)
         tally.own["t"].wanted = True
         tell(tally, holder, 600 * MS)
-        self.assertTrue(given.ceiling < high, (given.ceiling, high))
+        self.assertTrue(grant.ceiling < high, (grant.ceiling, high))
 
     def test_all_are_told_unasked_of_a_tenant_of_whom_nothing_passes_without_a_word(self):
         # 86 ingresses could take three each of a store of 30.
--- a/vetchusher/directory/naming.py
+++ b/vetchusher/directory/naming.py
@@ -1,4 +1,4 @@
-"""Whom the directory names to a client, by what is known of who serves."""
+"""The directory's choice: which serving ingresses are named to a client of one region and zone."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entrance:
+class ServingIngress:
     """An ingress that serves.
 
     :param front: `host:port` for clients
@@ -23,22 +23,22 @@
     front: str
 
 
-def named(entrances: Iterable[Entrance], region: str, zone: str) -> list[str]:
-    """Fronts for a client of that place: its region's; with fewer than two there, all."""
-    serving = list(entrances)
+def named(ingresses: Iterable[ServingIngress], region: str, zone: str) -> list[str]:
+    """Addresses for a client of that place: its region's; with fewer than two there, all."""
+    serving = list(ingresses)
     near = [one for one in serving if one.region == region]
     chosen = near if len(near) >= FEWEST_NAMED else serving
     chosen.sort(key=lambda one: (one.region != region, one.zone != zone, one.node))
     return [one.front for one in chosen[:MOST_NAMED]]
 
 
-def row_of(ip: str, entrance: Entrance, serving: bool) -> bytes:
-    told = [ip, entrance.zone, entrance.region, entrance.front, int(serving)]
-    return json.dumps(told, separators=(",", ":")).encode()
+def row_of(ip: str, ingress: ServingIngress, serving: bool) -> bytes:
+    fields = [ip, ingress.zone, ingress.region, ingress.front, int(serving)]
+    return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def entrances_of(rows: Mapping[str, bytes]) -> list[Entrance]:
-    """Those that the entrance's rows say serve."""
+def serving_ingresses(rows: Mapping[str, bytes]) -> list[ServingIngress]:
+    """Those that the source `directory` say serve."""
     found = []
     for node, value in rows.items():
         try:
@@ -46,5 +46,10 @@
         except (ValueError, TypeError):
             continue
         if serving and front:
-            found.append(Entrance(node, str(zone), str(region), str(front)))
+            found.append(ServingIngress(node, str(zone), str(region), str(front)))
     return found
+
+
+# Former names, which node/edge_node.py imports.
+Entrance = ServingIngress
+entrances_of = serving_ingresses
--- a/vetchusher/directory/neighbours.py
+++ b/vetchusher/directory/neighbours.py
@@ -1,6 +1,6 @@
-"""The small set of other ingresses that one knows and watches, by rendezvous hashing.
+"""The few other ingresses that one watches, by rendezvous hashing (Thaler, Ravishankar 1998).
 
-Each ingress computes its own from the same rows; one more or less moves only the sets that it is or was in.
+Each ingress computes its own set from the same rows; adding or removing one changes only the sets it is in.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-NEAR, FAR = 2, 1  # of the own region, and beyond it: a region that is cut off has itself, and not only itself
+NEAR, FAR = 2, 1  # of the own region, and of others: a region that is cut off has itself, and not only itself
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,7 +21,7 @@
 
 
 def places_of(rows: Mapping[str, bytes]) -> dict[str, Place]:
-    """Ingresses by name, as the entrance's rows tell them; those of whom no address is known are left out."""
+    """Ingresses by name, from the rows of the source `directory`; those without an address are left out."""
     found = {}
     for node, value in rows.items():
         try:
--- a/vetchusher/directory/presence.py
+++ b/vetchusher/directory/presence.py
@@ -1,4 +1,4 @@
-"""Which ingresses serve, by the beats that this core machine hears, and whom the directory names."""
+"""Which ingresses serve, by the heartbeats that this control node receives, and whom the directory names."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.events import Event, LogEvent
 
-from .naming import Entrance, named, row_of
+from .naming import ServingIngress, named, row_of
 
-SERVING_US = 2_500_000  # since the last beat: five of them may be lost at the primary, two elsewhere
-MAY_SERVE_US = 60_000_000  # since the last beat: cut off from here it may still serve clients
+SERVING_US = 2_500_000  # since the last heartbeat: five may be lost at the primary, two elsewhere
+MAY_SERVE_US = 60_000_000  # since the last heartbeat: cut off from here it may still serve clients
 MOST_INGRESSES = 2_048
-TTL_S = 2  # for which a client may hold on to the directory's answer
-KEPT_TIMES = 3  # as long as that some do hold on to it
+TTL_S = 2  # for which a client may cache the directory's answer
+KEPT_TIMES = 3  # times that: some clients cache it so long
 
 
 @dataclass(slots=True)
@@ -27,23 +27,23 @@
     standing: wire.Standing
     heard_at: int
 
-    def entrance(self) -> Entrance:
-        return Entrance(self.node, self.zone, self.region, self.front)
+    def as_serving(self) -> ServingIngress:
+        return ServingIngress(self.node, self.zone, self.region, self.front)
 
     def serves(self, now: int) -> bool:
-        """Heard lately, and ready."""
+        """Ready, by a recent heartbeat."""
         return self.standing == wire.READY and now - self.heard_at <= SERVING_US
 
 
 class Presence:
-    """Owner of what is known of them: an entry goes when it has been silent for MAY_SERVE_US."""
+    """Owner of one record for each ingress; removed MAY_SERVE_US after its last heartbeat."""
 
     def __init__(self) -> None:
         self.ingresses: dict[str, Ingress] = {}
-        self.lost: set[str] = set()  # of `ingresses`: told in the log as lost
+        self.lost: set[str] = set()  # of `ingresses`: logged as lost
 
     def heard(self, now: int, heartbeat: wire.Heartbeat) -> list[LogEvent]:
-        """Take in a beat; those of machines that take no clients tell nothing here."""
+        """Take in a heartbeat; those of machines that take no clients are ignored."""
         if not heartbeat.front:
             return []
         known = self.ingresses.get(heartbeat.node)
@@ -80,25 +80,27 @@
         return notes
 
     def remember(self, now: int, node: str) -> None:
-        """One that the news named before this process began: it may still be serving.
+        """Add an ingress that stored rows name: it may still be serving.
 
-        Danger: a core machine that has just started would count only those that it has heard since.
+        Danger: a control node that has just started would count only those heard since.
         """
         if node not in self.ingresses and len(self.ingresses) < MOST_INGRESSES:
             self.ingresses[node] = Ingress(node, "", "", "", "", 0, wire.STARTING, now)
             self.lost.add(node)
 
     def rows(self, now: int) -> dict[str, bytes]:
-        """As news: every ingress that may be serving, by name, and whether it does."""
-        return {one.node: row_of(one.ip, one.entrance(), one.serves(now)) for one in self.ingresses.values()}
+        """Rows for subscribers: every ingress that may be serving, by name, and whether it does."""
+        return {
+            one.node: row_of(one.ip, one.as_serving(), one.serves(now)) for one in self.ingresses.values()
+        }
 
     def may_serve(self) -> dict[str, int]:
-        """When each that may have clients, those lately lost among them, was last heard (us)."""
+        """Time (us) of the last heartbeat of each that may have clients, lost ones included."""
         return {node: one.heard_at for node, one in self.ingresses.items()}
 
     def serving(self, now: int) -> list[Ingress]:
-        """Those heard lately that are ready."""
+        """Those that are ready, by a recent heartbeat."""
         return [one for one in self.ingresses.values() if one.serves(now)]
 
     def name(self, now: int, region: str, zone: str) -> list[str]:
-        return named((one.entrance() for one in self.serving(now)), region, zone)
+        return named((one.as_serving() for one in self.serving(now)), region, zone)
--- a/vetchusher/discovery/reader.py
+++ b/vetchusher/discovery/reader.py
@@ -1,6 +1,7 @@
-"""From the platform's list to rows: what is gone, whose a cold server is; and back at an ingress.
+"""From the platform's list to rows, and from rows to servers at an ingress.
 
-The one reader of the list is whoever holds the duty; it is made anew with each holding.
+Decides which servers are gone and which ingress owns the cold budget of each.  The primary alone reads the
+list; a `Reader` is made anew with each epoch.
 """
 
 from __future__ import annotations
@@ -18,9 +19,10 @@
 from .server import Server
 
 ABSENT_READS = 2  # whole reads in a row without it: pages shift while they are read
-KEPT_WAIT_US = 3_000_000  # before a keeper named anew may send
-# How long a keeper may send after the beat that the primary last answered.  Danger: cut off, it does not hear
-# that another is named; a primary that is new may name one at once, so this is no longer than the wait.
+KEPT_WAIT_US = 3_000_000  # before a new owner of a cold budget may send
+# The lease of a cold budget: how long its owner may send after the heartbeat that the primary last answered.
+# Danger: an owner that is cut off does not learn that another was named, and a new primary may name one at
+# once; so the lease is no longer than the wait.
 KEPT_LEASE_US = KEPT_WAIT_US
 MOST_SERVERS = 16_384
 
@@ -45,7 +47,7 @@
     next_token: str | None
 
 
-def bad(text: str) -> Result[Page, Fault]:
+def unreadable_page(text: str) -> Result[Page, Fault]:
     return Failure(Fault(Kind.BAD_MESSAGE, text))
 
 
@@ -57,12 +59,12 @@
         columns, rows = tree["instances"]["columns"], tree["instances"]["rows"]
         token = tree.get("next_token")
         if not isinstance(columns, list) or not isinstance(rows, list) or len(rows) > MOST_SERVERS:
-            return bad("instances: columns or rows are no lists")
+            return unreadable_page("instances: columns or rows are no lists")
         entries = [_entry(dict(zip(columns, row, strict=True))) for row in rows]
     except (ValueError, KeyError, TypeError, AttributeError) as err:
-        return bad(f"instances: {type(err).__name__}: {err}")
+        return unreadable_page(f"instances: {type(err).__name__}: {err}")
     if token is not None and not isinstance(token, str):
-        return bad("next_token is no text")
+        return unreadable_page("next_token is no text")
     return Success(Page(entries, token or None))
 
 
@@ -86,30 +88,30 @@
 
 
 def rank(node: str, instance: str) -> bytes:
-    """Rendezvous hashing: of several nodes the one with the highest rank keeps the instance."""
+    """Rendezvous hashing: of several nodes the one with the highest rank owns the instance's cold budget."""
     return blake2b(f"{node}\n{instance}".encode(), digest_size=8).digest()
 
 
 @dataclass(slots=True)
 class Known:
     listed: Listed
-    keeper: str
-    kept_wait_ms: int
-    cold_ms: int  # as first told of this coldness: rows do not change while it runs down
+    cold_owner: str
+    owner_wait_ms: int
+    cold_ms: int  # as first listed: rows do not change while the time runs down
     absent: int = 0
 
 
 class Reader:
-    """Owner of what the list said: an entry goes when ABSENT_READS whole reads lack it."""
+    """Owner of the servers listed; one is removed when ABSENT_READS whole reads lack it."""
 
     def __init__(self, zones: Mapping[str, str], kept: Mapping[str, bytes]) -> None:
-        """:param kept: rows of the reader before: keepers of the cold stay who they are"""
+        """:param kept: rows of the previous reader: owners of cold budgets stay"""
         self.zones = zones
         self.known: dict[str, Known] = {}
         for key, value in kept.items():
             match read_row(key, value, 0):
                 case Success(server):
-                    self.known[key] = Known(_listed(server), server.keeper, 0, server.cold_until // 1000)
+                    self.known[key] = Known(_listed(server), server.cold_owner, 0, server.cold_until // 1000)
                 case _:
                     continue
 
@@ -129,18 +131,18 @@
             if not entry.cold_left_ms or entry.cold_left_ms > known.cold_ms:
                 known.cold_ms = entry.cold_left_ms
             known.listed = entry
-            self._keep(known, nodes)
+            self._assign_cold_owner(known, nodes)
         return {instance: write_row(known) for instance, known in self.known.items()}
 
-    def _keep(self, known: Known, nodes: list[tuple[str, str]]) -> None:
-        if any(node == known.keeper for node, _ in nodes):
+    def _assign_cold_owner(self, known: Known, nodes: list[tuple[str, str]]) -> None:
+        if any(node == known.cold_owner for node, _ in nodes):
             return
         region = self.zones.get(known.listed.zone, "")
         near = [node for node, place in nodes if place == region] or [node for node, _ in nodes]
         if near:
-            # Danger: the one before may live, unheard, and still send to it.
-            known.kept_wait_ms = KEPT_WAIT_US // 1000 if known.keeper else 0
-            known.keeper = max(near, key=lambda node: rank(node, known.listed.instance))
+            # Danger: the previous owner may be alive, unheard, and still send to the server.
+            known.owner_wait_ms = KEPT_WAIT_US // 1000 if known.cold_owner else 0
+            known.cold_owner = max(near, key=lambda node: rank(node, known.listed.instance))
 
 
 def _listed(server: Server) -> Listed:
@@ -158,18 +160,18 @@
 
 def write_row(known: Known) -> bytes:
     one = known.listed
-    told = [one.service, one.address, one.zone, one.version, one.capacity, int(one.draining)]
+    fields = [one.service, one.address, one.zone, one.version, one.capacity, int(one.draining)]
     return json.dumps(
-        [*told, known.cold_ms, known.keeper, known.kept_wait_ms], separators=(",", ":")
+        [*fields, known.cold_ms, known.cold_owner, known.owner_wait_ms], separators=(",", ":")
     ).encode()
 
 
 def read_row(instance: str, value: bytes, now: int) -> Result[Server, Fault]:
     """A row as a server, its spans counted from `now` (us): later than they began, so never too short."""
     try:
-        service, address, zone, version, capacity, draining, cold_ms, keeper, wait_ms = json.loads(value)
+        service, address, zone, version, capacity, draining, cold_ms, cold_owner, wait_ms = json.loads(value)
         cold_until = now + 1000 * int(cold_ms) if cold_ms else 0
-        kept_from = now + 1000 * int(wait_ms)
+        owned_from = now + 1000 * int(wait_ms)
         return Success(
             Server(
                 instance,
@@ -180,8 +182,8 @@
                 int(capacity),
                 bool(draining),
                 cold_until,
-                str(keeper),
-                kept_from,
+                str(cold_owner),
+                owned_from,
             )
         )
     except (ValueError, TypeError) as err:
--- a/vetchusher/discovery/server.py
+++ b/vetchusher/discovery/server.py
@@ -10,8 +10,8 @@
     """:param instance: the id of this life of it
     :param address: `ip:port`
     :param cold_until: us on the reader's own steady clock; 0 or in the past: warm
-    :param keeper: node name of the one ingress that may send to it while it is cold; empty: nobody
-    :param kept_from: us on the reader's own steady clock from which that keeper may
+    :param cold_owner: node name of the one ingress that may send to it while it is cold; empty: none
+    :param owned_from: us on the reader's own steady clock from which that owner may
     """
 
     instance: str
@@ -22,5 +22,5 @@
     capacity: int = 1
     draining: bool = False
     cold_until: int = 0
-    keeper: str = ""
-    kept_from: int = 0
+    cold_owner: str = ""
+    owned_from: int = 0
--- a/vetchusher/emulator/quota/audit.py
+++ b/vetchusher/emulator/quota/audit.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class FirmRecord:
     """One firm's commands in order of time, with what became of each."""
 
     firm: Firm
@@ -57,28 +57,28 @@
 
 
 class Audit:
-    """The ledgers of all firms of one run."""
+    """The records of all firms of one run."""
 
     def __init__(self, firms: list[Firm]) -> None:
-        self.ledgers = {f.customer: Ledger(f) for f in firms}
+        self.records = {f.customer: FirmRecord(f) for f in firms}
 
     def note(self, ask: Ask, sent: bool) -> None:
-        self.ledgers[ask.firm.customer].asked.append((ask.at, sent, ask.true))
+        self.records[ask.firm.customer].asked.append((ask.at, sent, ask.true))
 
     def findings(self, length: int) -> Findings:
         costly, free, heavy, light_lost, light_inside = [0.0], [0.0], [], 0, 0
-        for ledger in self.ledgers.values():
-            plan = ledger.firm.plan
-            over = ledger.overspend() / (plan.rate * 60.0)
+        for record in self.records.values():
+            plan = record.firm.plan
+            over = record.overspend() / (plan.rate * 60.0)
             (costly if plan.over_cost > plan.over_worth else free).append(over)
             if plan.over_cost <= plan.over_worth:
                 continue
-            inside = ledger.inside()
-            if ledger.load(length) >= 2.0:
-                heavy.append(sum(sent for _, sent, _ in ledger.asked) / max(1, sum(inside)))
-            elif ledger.load(length) < 0.5:
+            inside = record.inside()
+            if record.load(length) >= 2.0:
+                heavy.append(sum(sent for _, sent, _ in record.asked) / max(1, sum(inside)))
+            elif record.load(length) < 0.5:
                 light_inside += sum(inside)
-                asked = zip(inside, ledger.asked, strict=True)
+                asked = zip(inside, record.asked, strict=True)
                 light_lost += sum(fits and not sent for fits, (_, sent, _) in asked)
         return Findings(
             max(costly),
--- a/vetchusher/emulator/quota/mutations.py
+++ b/vetchusher/emulator/quota/mutations.py
@@ -10,7 +10,7 @@
 
 from vetchusher.distribution.wire_pb2 import Passed
 from vetchusher.limits import totals
-from vetchusher.limits.tally import Own, Tally
+from vetchusher.limits.tally import Tally, TenantUsage
 from vetchusher.limits.totals import Holder, Pool, Source
 from vetchusher.limits.windows import Pair
 
@@ -35,8 +35,8 @@
     added: dict[tuple[int, str], int] = {}
 
     def adds(self: Holder, now: int, pool: Pool, source: Source, passed: Passed, *rest: Any) -> bool:
-        key, given = (id(source), passed.tenant), source.given.get(passed.tenant)
-        before = given.count if given is not None and given.known else passed.count
+        key, grant = (id(source), passed.tenant), source.grants.get(passed.tenant)
+        before = grant.count if grant is not None and grant.known else passed.count
         if passed.count == before:
             pool.level -= added.get(key, 0)
         else:
@@ -56,7 +56,10 @@
         look(self, now)
         self.silent = 0
 
-    with patch.object(totals, "kept_of", lambda shape, ingresses: 0.0), patch.object(Holder, "look", looks):
+    with (
+        patch.object(totals, "reserve_of", lambda shape, ingresses: 0.0),
+        patch.object(Holder, "look", looks),
+    ):
         yield
 
 
@@ -97,7 +100,7 @@
     """Cut off, an ingress divides by those that it hears: itself."""
     settle = Tally.settle
 
-    def settles(self: Tally, now: int, own: Own) -> None:
+    def settles(self: Tally, now: int, own: TenantUsage) -> None:
         ingresses = self.ingresses
         if now - self.answered_at > 600_000:
             self.ingresses = 1
--- a/vetchusher/emulator/quota/ways.py
+++ b/vetchusher/emulator/quota/ways.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from vetchusher.distribution.wire_pb2 import Push
-from vetchusher.limits.tally import Own, Tally
+from vetchusher.limits.tally import Tally, TenantUsage
 from vetchusher.limits.windows import Shape, shape_of
 from vetchusher.settings.configuration import Tenant
 
@@ -16,14 +16,14 @@
 class EstimateAlone(Tally):
     """No guard: whatever the weighted estimate lets through passes."""
 
-    def settle(self, now: int, own: Own) -> None:
+    def settle(self, now: int, own: TenantUsage) -> None:
         own.ceiling = own.count + own.shape.limit
 
 
 class GuardAlone(Tally):
     """No estimate: whatever the ceilings let through passes."""
 
-    def limit(self, own: Own) -> float:
+    def limit(self, own: TenantUsage) -> float:
         return float("inf")
 
 
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -61,8 +61,8 @@
     "what may have run is promised not to": (
         (request.Request, "_give_up", lambda self, now: self._refuse(Kind.NEVER_RAN, "no server took it")),
     ),
-    "a cold server's new keeper does not wait": ((reader, "KEPT_WAIT_US", 0),),
-    "a keeper has no lease": ((edge_node, "KEPT_LEASE_US", 1 << 61),),
+    "a cold server's new owner does not wait": ((reader, "KEPT_WAIT_US", 0),),
+    "a cold owner has no lease": ((edge_node, "KEPT_LEASE_US", 1 << 61),),
     "any ingress may send to a cold server": (
         (choice.Choice, "_is_cold", lambda self, now, standing: False),
     ),
--- a/vetchusher/limits/__init__.py
+++ b/vetchusher/limits/__init__.py
@@ -1,8 +1,9 @@
-"""What keeps quotas true: while a counter is not to be had, and inside the system.
+"""Quotas over many ingresses: the daemon's while its counter is unavailable, and the system's own.
 
-Nothing here does I/O.  `Limits` is the face for the daemon's decision module, which tells it what passed,
-what the counter and the peers said, and asks it how much of the others' use its own view may lack.  `tally`,
-`totals` and `tries` are the system's: an ingress's quotas, the holder's, and the budget of extra tries.
+`Limits` is the face for the daemon's decision module, which reports what passed and what the counter and the
+peers said, and asks how much of the others' use its own view may lack.  The system uses `tally` (an ingress's
+side), `totals` (the holder's side), `windows` (their arithmetic) and `tries` (the retry budget).
+Nothing here does I/O.
 """
 
 from typing import TYPE_CHECKING, Any
--- a/vetchusher/limits/tally.py
+++ b/vetchusher/limits/tally.py
@@ -1,11 +1,11 @@
-"""An ingress's side of the quotas inside the system: judged at once, told to the holder by a timer.
+"""An ingress's side of the system's quotas: judged at once, reported to the holder by a timer.
 
 Two judges, each of which may refuse.  First the weighted estimate over two windows, each a pulled total and
-what has passed here since (kin: Kong's counts with batched totals).  It sees what all passed, a sync late.
-Behind it the guard (kin: escrow, O'Neil 1986): the holder's word on a tenant is a ceiling on the running
-count here, and the ceilings of all ingresses together never exceed what the quota has room for, so no two can
-pass the same room.  Without a fresh word an ingress has a part: 1/N of the rate, and what is kept back for
-those without a word.  docs/design/totals.md derives the bound.
+what has passed here since (as in Kong's batched counts).  It sees what all passed, a sync late.  Behind it
+the guard (escrow, O'Neil 1986): the holder grants a ceiling on a tenant's running count here, and all
+ceilings together never exceed what the quota has room for, so no two can pass the same room.  Without
+a fresh grant an ingress has 1/N of the rate, and its part of what is reserved for such ingresses.
+docs/design/totals.md derives the bound.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from vetchusher.distribution.wire_pb2 import Passed, Push, Total, Totals
 from vetchusher.settings.configuration import Tenant
 
-from .windows import Bounds, Clock, Pair, Shape, first_of, is_thin, part_of, shape_of
+from .windows import Bounds, Clock, Pair, Shape, cut_off_share, first_allowance, is_thin, shape_of
 
-STALE_US = 800_000  # us from sending a push that its answer's word holds
+STALE_US = 800_000  # us from sending a push for which its answer's grants hold
 UNANSWERED_US = 400_000  # us without an answer after which the next may come from a new holder
-BEAT_US = 250_000  # us between two pushes at most: the holder keeps back parts for the silent
+PUSH_MOST_US = 250_000  # us between two pushes at most: the holder reserves parts for the silent
 ALONE_US = 58_000_000  # us without an answer after which the core may count this ingress as gone
-AGAIN_US = 300_000  # us after which a count is told again that no answer has confirmed
+AGAIN_US = 300_000  # us after which an unconfirmed count is sent again
 MOST_SENT = 16  # pushes without an answer that are remembered
 LEAST_FIRST = 3.0  # requests that the estimate lets pass before a first total
-COME_BACK_US = 5_000_000  # us: a refused request is never told to wait longer
+COME_BACK_US = 5_000_000  # us: the longest time to return that a refusal states
 NEVER = -(1 << 62)
 
 
 @dataclass(slots=True)
-class Own:
+class TenantUsage:
     """What this ingress knows of one tenant.
 
-    :param count: passed, told as a running count; begins at what all tenants had passed, so it never falls
+    :param count: passed, as a running count; begins at what all tenants had passed, so it never falls
     :param ceiling: count up to which may be passed
-    :param until: us until which the holder's word holds
+    :param until: us until which the holder's grant holds
     :param part_at: us up to which the part has grown
     :param named: number of the newest answer that named the tenant
     :param pushed: the count in the newest push; at `pushed_at`
@@ -61,30 +61,30 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class PendingPush:
     """A push under way.
 
-    :param told: by tenant the count in it, and whether a holder without memory could use it
+    :param counts: by tenant the count in it, and whether a new holder could use it
     """
 
     at: int
-    told: dict[str, tuple[int, bool]]
+    counts: dict[str, tuple[int, bool]]
 
 
 class Tally:
-    """Owner of one `Own` for each tenant with a quota in the configuration; gone from there, gone here."""
+    """Owner of one `TenantUsage` for each tenant with a quota in the configuration."""
 
     def __init__(self, node: str, life: int, sync_us: int = 150_000, bounds: Bounds | None = None) -> None:
         self.node = node
         self.life = life
         self.sync_us = sync_us
         self.bounds = bounds or Bounds()
-        self.own: dict[str, Own] = {}
+        self.own: dict[str, TenantUsage] = {}
         self.serial = 0  # passed, over all tenants
         self.ingresses = 0  # that may be serving; 0: not known
         self.holder = 0  # life of the duty whose totals were heard
         self.number = 0
-        self.sent: dict[int, Sent] = {}
+        self.sent: dict[int, PendingPush] = {}
         self.sent_at = NEVER
         self.heard_number = 0
         self.answered_at = NEVER  # us: when the newest answered push was sent
@@ -94,7 +94,7 @@
         self.clock = Clock()  # the holder's
         self.lately: set[str] = (
             set()
-        )  # tenants with something to tell, or that passed in the last two windows
+        )  # tenants with something to report, or that passed in the last two windows
         self.stood = False  # whether whole totals came, when last asked
         self.eager = False  # a push should not wait for the timer
         self.by_estimate = self.by_ceiling = 0  # refused by each
@@ -109,7 +109,7 @@
             own = old.get(name)
             if own is None:
                 # Danger: a tenant that comes back must not count from below what the holder has heard.
-                own = Own(shape, self.serial, self.serial, now, pushed=self.serial, acked=self.serial)
+                own = TenantUsage(shape, self.serial, self.serial, now, pushed=self.serial, acked=self.serial)
                 own.pair = Pair((now + self.clock.offset) // shape.length_us, own.count)
                 self.begin(now, own)
             elif own.shape != shape:
@@ -122,7 +122,7 @@
         self.lately &= self.own.keys()
 
     def fleet(self, now: int, ingresses: int, named: bool) -> None:
-        """How many may be serving, by the rows of the news.
+        """How many ingresses may be serving, by the rows of the source `directory`.
 
         :param named: this ingress is one of them.  Danger: after a loss of power nobody holds totals for
             seconds; whoever was counted before has its part, whoever was not waits for a holder
@@ -133,10 +133,10 @@
             for own in self.own.values():
                 self.begin(now, own)
 
-    def begin(self, now: int, own: Own) -> None:
+    def begin(self, now: int, own: TenantUsage) -> None:
         """A first allowance, before any total."""
         if self.named_at != NEVER and self.answered_at == NEVER and own.until <= now:
-            own.ceiling, own.part_at = own.count + first_of(own.shape, self.ingresses), now
+            own.ceiling, own.part_at = own.count + first_allowance(own.shape, self.ingresses), now
 
     def admit(self, now: int, tenant: str) -> bool:
         own = self.own.get(tenant)
@@ -160,30 +160,30 @@
         self.serial += 1
         return True
 
-    def used(self, now: int, own: Own) -> float:
+    def used(self, now: int, own: TenantUsage) -> float:
         """The weighted estimate, as known here."""
         at, length = now + self.clock.offset, own.shape.length_us
         own.pair.roll(at // length, own.count)
         return own.pair.used(own.count, at % length, length)
 
-    def limit(self, own: Own) -> float:
+    def limit(self, own: TenantUsage) -> float:
         """Of the estimate; before a first total, of what passed here alone."""
         if own.pair.known:
             return own.shape.limit
         return max(LEAST_FIRST, own.shape.limit / max(1, self.ingresses))
 
-    def settle(self, now: int, own: Own) -> None:
-        """Bring the ceiling up to date where no word of the holder holds."""
+    def settle(self, now: int, own: TenantUsage) -> None:
+        """Bring the ceiling up to date where no grant holds."""
         if now < own.until:
             return
         in_touch = now - self.whole_at < STALE_US and own.alarmed < self.whole_told
         if in_touch and own.named != self.heard_number:
             # In touch, and the tenant is not short: what is kept back, anew once all is told.
             if own.acked == own.count:
-                own.ceiling, own.part_at = own.count + first_of(own.shape, self.ingresses), now
+                own.ceiling, own.part_at = own.count + first_allowance(own.shape, self.ingresses), now
             return
         # Danger: cut off from the totals, all ingresses together must stay within the quota.
-        part = part_of(own.shape, self.ingresses)
+        part = cut_off_share(own.shape, self.ingresses)
         grown = own.shape.gained(now - max(own.part_at, own.until)) / max(1, self.ingresses)
         own.ceiling = own.count + min(part, own.ceiling - own.count + grown * (self.ingresses > 0))
         own.part_at = now
@@ -195,7 +195,7 @@
         late = now - self.answered_at > UNANSWERED_US
         at = now + self.clock.offset
         passed = []
-        told: dict[str, tuple[int, bool]] = {}
+        counts: dict[str, tuple[int, bool]] = {}
         for name in list(self.lately):
             own = self.own[name]
             own.pair.roll(at // own.shape.length_us, own.count)
@@ -208,14 +208,14 @@
             if not (own.count != own.pushed or own.wanted or again or (opening and recent + before - low)):
                 continue
             own.pushed, own.pushed_at, own.wanted = own.count, now, False
-            told[name] = own.count, opening
-            told_windows = {"recent": recent, "before": before, "low": low} if opening else {}
-            passed.append(Passed(tenant=name, count=own.count, ended=own.pair.began, **told_windows))
-        if not passed and now - self.sent_at < BEAT_US:
+            counts[name] = own.count, opening
+            windows = {"recent": recent, "before": before, "low": low} if opening else {}
+            passed.append(Passed(tenant=name, count=own.count, ended=own.pair.began, **windows))
+        if not passed and now - self.sent_at < PUSH_MOST_US:
             return None
         self.number += 1
         self.sent_at, self.eager = now, False
-        self.sent[self.number] = Sent(now, told)
+        self.sent[self.number] = PendingPush(now, counts)
         if len(self.sent) > MOST_SENT:
             del self.sent[next(iter(self.sent))]
         return Push(
@@ -244,7 +244,7 @@
         if self.clock.heard(totals.life, sent.at, now, totals.now_us):
             for known in self.own.values():
                 known.pair.move((now + self.clock.offset) // known.shape.length_us)
-        for name, (count, opening) in sent.told.items():
+        for name, (count, opening) in sent.counts.items():
             own = self.own.get(name)
             if own is not None and (opening or own.known_to == totals.life):
                 own.acked, own.known_to = max(own.acked, count), totals.life
@@ -259,12 +259,12 @@
                 own.pair.roll((now + self.clock.offset) // own.shape.length_us, own.count)
                 index = totals.now_us // own.shape.length_us
                 own.pair.pull(
-                    index, total.current, total.previous, sent.told.get(total.tenant, (0, False))[0]
+                    index, total.current, total.previous, sent.counts.get(total.tenant, (0, False))[0]
                 )
                 self.take(own, total, sent.at)
 
     def alarm(self, now: int, totals: Totals) -> None:
-        """The holder says, unasked, of whom nothing passes without its word."""
+        """The holder names, unasked, tenants of whom nothing passes without its grant."""
         if totals.life != self.holder:
             return
         for total in totals.totals:
@@ -279,7 +279,7 @@
         if whole == self.stood:
             return None
         self.stood = whole
-        parts = [part_of(own.shape, self.ingresses) for own in self.own.values()]
+        parts = [cut_off_share(own.shape, self.ingresses) for own in self.own.values()]
         least, most = min(parts, default=0.0), max(parts, default=0.0)
         return {
             "ingresses": self.ingresses,
@@ -298,7 +298,7 @@
                 own.until = now
             self.settle(now, own)
 
-    def take(self, own: Own, total: Total, sent_at: int) -> None:
+    def take(self, own: TenantUsage, total: Total, sent_at: int) -> None:
         own.ceiling, own.until, own.part_at = float(total.ceiling), sent_at + STALE_US, sent_at
         own.named = self.heard_number
         own.low, own.low_at = float(total.level), sent_at
--- a/vetchusher/limits/totals.py
+++ b/vetchusher/limits/totals.py
@@ -1,9 +1,9 @@
-"""The holder's side of the quotas inside the system: what all ingresses passed, and what each may pass next.
+"""The holder's side of the system's quotas: what all ingresses passed, and what each may pass next.
 
 Held by the primary of the control state under its lease, made anew with each epoch, never on disk.  For each
 tenant a store of unused quota (it refills by the rate up to the depth, and all that passed is taken off):
 what it holds, and what may be given out ahead, is divided among the ingresses as ceilings on their running
-counts.  A ceiling told lower counts as the higher one until its ingress says that it heard, so at each moment
+counts.  A ceiling that is lowered counts as the higher one until its ingress confirms it, so at each moment
 
     passed everywhere <= passed as heard + what ceilings and parts still allow <= rate x time + depth + ahead
 """
@@ -19,7 +19,7 @@
 from vetchusher.settings.configuration import Tenant
 
 from .tally import NEVER, STALE_US
-from .windows import Bounds, Counts, Shape, first_of, is_thin, kept_of, shape_of, used_of
+from .windows import Bounds, Counts, Shape, first_allowance, is_thin, reserve_of, shape_of, used_of
 
 SILENT_US = 500_000  # us after which a part is kept back for an ingress that says nothing
 WHOLE_US = 1_000_000  # us after its start when a holder goes on without those that said nothing
@@ -30,38 +30,38 @@
 NEED, NEED_LEAST = 0.7, 2.0  # of what it passed lately, and requests: all that an ingress is given
 WANT = 0.5  # requests that a refused one counts for, in the shares
 ALARM_US = 250_000  # us for which a tenant stays tight at least: by then each has asked
-MOST_TOLD = 8  # answers of which one ingress may have heard any
+MOST_UNCONFIRMED = 8  # answers of which one ingress may have heard any
 MOST_LIVES = 4  # of one ingress that are remembered
 
 
 @dataclass(slots=True)
-class Given:
-    """What one life of an ingress was last heard to have passed for one tenant, and what it may.
+class Grant:
+    """What one life of an ingress has reported to have passed for one tenant, and what it may pass.
 
     :param used: requests lately, each counting less with time
     """
 
     count: int
     ceiling: int
-    known: bool = True  # false: nothing was ever heard of it
+    known: bool = True  # false: it has reported nothing yet
     until: int = NEVER  # us until which the ceiling holds
-    told: list[tuple[int, int]] = field(default_factory=list)  # answers, with the ceiling that each told
+    told: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed answers, each with its ceiling
     used: float = 0.0
     used_at: int = 0
 
     def left(self) -> int:
         return max(0, self.ceiling - self.count)
 
-    def tell(self, number: int, ceiling: int) -> None:
+    def raise_or_lower(self, number: int, ceiling: int) -> None:
         """Danger: an answer may be lost, so the highest of those that may be in force counts."""
-        if len(self.told) >= MOST_TOLD:
+        if len(self.told) >= MOST_UNCONFIRMED:
             (_, first), (number_kept, second) = self.told[:2]
             self.told[:2] = [(number_kept, max(first, second))]
         self.told.append((number, ceiling))
         self.ceiling = max(told for _, told in self.told)
 
-    def heard(self, number: int) -> None:
-        """The ingress has taken that answer: what older ones told holds no more."""
+    def confirm(self, number: int) -> None:
+        """The ingress has taken that answer: older ceilings no longer hold."""
         for place, (told, _) in enumerate(self.told):
             if told == number:
                 del self.told[:place]
@@ -78,8 +78,8 @@
     heard_at: int
     told: bool = False  # it knows this holder: its first counts are all here
     kept: float = 0.0  # us of silence for which its part of the rates was kept back
-    given: dict[str, Given] = field(default_factory=dict)
-    unsure: set[str] = field(default_factory=set)  # tenants told more than one ceiling that may be in force
+    grants: dict[str, Grant] = field(default_factory=dict)
+    unsure: set[str] = field(default_factory=set)  # tenants with more than one ceiling that may be in force
 
 
 @dataclass(slots=True)
@@ -88,8 +88,8 @@
 
     :param level: of the store; below 0: passed ahead
     :param out: what valid ceilings still allow, over `active` ingresses
-    :param low: below 0: what the holder before had left, as told by the ingresses, at `low_at`
-    :param tight: too little for parts without a word: all are told
+    :param low: below 0: what the previous holder had left, as reported by the ingresses, at `low_at`
+    :param tight: too little for reserves without a grant: all ingresses get a ceiling
     """
 
     shape: Shape
@@ -103,7 +103,7 @@
     low_at: int = 0
     tight: bool = False
     tight_at: int = NEVER
-    ends: deque[tuple[int, Source, Given]] = field(default_factory=deque)
+    ends: deque[tuple[int, Source, Grant]] = field(default_factory=deque)
     windows: Counts = field(default_factory=Counts)
 
 
@@ -130,7 +130,7 @@
         self.looked_at = NEVER
         self.configured = 0  # times
         self.stood: tuple[object, ...] = ()
-        self.alarms: list[str] = []  # tenants that have become tight, not yet told to all
+        self.alarms: list[str] = []  # tenants that have become tight, not yet sent to all
 
     def configure(self, now: int, tenants: Mapping[str, Tenant]) -> None:
         self.configured += 1
@@ -147,8 +147,8 @@
                 pool.shape, pool.level = shape, min(pool.level, shape.depth)
             self.pools[name] = pool
         for source in self.each_source():
-            for name in [n for n in source.given if n not in self.pools]:
-                del source.given[name]
+            for name in [n for n in source.grants if n not in self.pools]:
+                del source.grants[name]
 
     def each_source(self) -> Iterator[Source]:
         return (source for lives in self.sources.values() for source in lives)
@@ -219,23 +219,23 @@
         pool.level = min(pool.shape.depth, pool.level + pool.shape.gained(now - pool.at) * speaking)
         pool.at = now
         while pool.ends and pool.ends[0][0] <= now:
-            until, source, given = pool.ends.popleft()
-            if given.until == until:
-                self.end(now, pool, source, given)
+            until, source, grant = pool.ends.popleft()
+            if grant.until == until:
+                self.end(now, pool, source, grant)
 
-    def end(self, now: int, pool: Pool, source: Source, given: Given) -> None:
+    def end(self, now: int, pool: Pool, source: Source, grant: Grant) -> None:
         pool.active -= 1
-        pool.out -= given.left()
-        given.until = NEVER
+        pool.out -= grant.left()
+        grant.until = NEVER
         if now - source.heard_at > SILENT_US or source is not self.sources[source.node][-1]:
             # Danger: whoever says nothing, or was killed, may have passed all that it had been given.
-            pool.level -= given.left()
-            given.count = max(given.count, given.ceiling)
+            pool.level -= grant.left()
+            grant.count = max(grant.count, grant.ceiling)
 
     def free(self, pool: Pool) -> float:
-        """What nobody has been given, nor is kept for those without a word."""
+        """What is neither granted nor reserved for ingresses without a grant."""
         idle = max(0, self.ingresses - pool.active) / self.ingresses
-        return pool.level + pool.shape.ahead - pool.out - idle * kept_of(pool.shape, self.ingresses)
+        return pool.level + pool.shape.ahead - pool.out - idle * reserve_of(pool.shape, self.ingresses)
 
     # -- pushes -----------------------------------------------------------------------
 
@@ -254,21 +254,21 @@
                     asked.append(passed.tenant)
         source.kept = 0.0
         for name in list(source.unsure):
-            pool, given = self.pools.get(name), source.given.get(name)
-            if pool is not None and given is not None and given.until > NEVER:
-                pool.out -= given.left()
-                given.heard(push.heard)
-                pool.out += given.left()
-            if given is None or len(given.told) < 2:
+            pool, grant = self.pools.get(name), source.grants.get(name)
+            if pool is not None and grant is not None and grant.until > NEVER:
+                pool.out -= grant.left()
+                grant.confirm(push.heard)
+                pool.out += grant.left()
+            if grant is None or len(grant.told) < 2:
                 source.unsure.discard(name)
         answer = Totals(number=push.number, life=self.life, whole=self.whole, ingresses=self.ingresses)
         answer.silent, answer.now_us = self.silent, now
         if self.whole and source is self.sources[source.node][-1]:
             named = set(asked)
-            answer.totals.extend(self.word(now, name, source, True, push.number) for name in asked)
+            answer.totals.extend(self.grant(now, name, source, True, push.number) for name in asked)
             for name, pool in self.pools.items():
                 if name not in named and self.is_tight(now, name, pool):
-                    answer.totals.append(self.word(now, name, source, False, push.number))
+                    answer.totals.append(self.grant(now, name, source, False, push.number))
         return answer
 
     def source_of(self, now: int, push: Push) -> Source:
@@ -287,13 +287,13 @@
 
     def forget(self, now: int, source: Source) -> None:
         """A life whose record goes: what it may still pass is taken as passed."""
-        for name, given in source.given.items():
+        for name, grant in source.grants.items():
             pool = self.pools.get(name)
-            if pool is not None and given.until > NEVER:
+            if pool is not None and grant.until > NEVER:
                 pool.active -= 1
-                pool.out -= given.left()
-                pool.level -= given.left()
-                given.until = NEVER
+                pool.out -= grant.left()
+                pool.level -= grant.left()
+                grant.until = NEVER
 
     def count(self, now: int, pool: Pool, source: Source, passed: Passed, knows: bool, at: int) -> bool:
         """Add what is new in a running count.
@@ -303,23 +303,23 @@
         """
         if passed.low < min(0.0, pool.low + pool.shape.gained(now - pool.low_at)):
             pool.low, pool.low_at = float(passed.low), now
-        given = source.given.get(passed.tenant)
+        grant = source.grants.get(passed.tenant)
         told = passed.recent + passed.before
-        if given is None or not given.known:
+        if grant is None or not grant.known:
             if not told and not knows:
                 return False
             new = told
         else:
-            new = max(0, passed.count - given.count)
+            new = max(0, passed.count - grant.count)
             if told:
                 # Danger: a tenant that left the configuration and came back counts on from a higher place.
                 new = min(new, told)
-        if given is None:
-            given = source.given[passed.tenant] = Given(passed.count, 0, used_at=now)
+        if grant is None:
+            grant = source.grants[passed.tenant] = Grant(passed.count, 0, used_at=now)
         else:
-            pool.out -= given.left() if given.until > NEVER else 0
-            given.count, given.known = max(given.count, passed.count), True
-            pool.out += given.left() if given.until > NEVER else 0
+            pool.out -= grant.left() if grant.until > NEVER else 0
+            grant.count, grant.known = max(grant.count, passed.count), True
+            pool.out += grant.left() if grant.until > NEVER else 0
         kept = pool.shape.gained(int(source.kept)) / self.ingresses
         pool.level -= max(0.0, new - kept)
         index = min(at, now) // pool.shape.length_us
@@ -328,77 +328,77 @@
         pool.windows.add(index - 1, new - fresh)
         pool.windows.add(index, fresh)
         gain = new or WANT
-        given.used = faded(given.used, now - given.used_at) + gain
+        grant.used = faded(grant.used, now - grant.used_at) + gain
         pool.used = faded(pool.used, now - pool.used_at) + gain
-        given.used_at = pool.used_at = now
+        grant.used_at = pool.used_at = now
         return True
 
     def is_tight(self, now: int, name: str, pool: Pool) -> bool:
-        """Whether parts without a word cannot be borne."""
+        """Whether too little is left to let ingresses pass requests without a grant."""
         self.refill(now, pool)
-        kept = kept_of(pool.shape, self.ingresses)
+        kept = reserve_of(pool.shape, self.ingresses)
         if pool.tight:
-            # Danger: those told to pass nothing have their parts again when it ends.
-            kept += max(0.0, pool.out - pool.active * first_of(pool.shape, self.ingresses))
+            # Danger: ingresses with a ceiling of nothing have their reserves again when it ends.
+            kept += max(0.0, pool.out - pool.active * first_allowance(pool.shape, self.ingresses))
         was, pool.tight = pool.tight, pool.level + pool.shape.ahead < kept
         pool.tight = pool.tight or now - pool.tight_at < ALARM_US
         if pool.tight and not was:
             pool.tight_at = now
             if is_thin(pool.shape, self.ingresses):
-                # Danger: not all firsts are kept back: whoever has one must hear before it next asks.
+                # Danger: not all first allowances are reserved: ingresses must be told before they use them.
                 self.alarms.append(name)
         return pool.tight
 
     def alarm(self, now: int) -> Totals | None:
-        """To all ingresses, unasked: tenants of whom nothing passes without a word."""
+        """To all ingresses, unasked: tenants of whom nothing passes without a grant."""
         if not self.alarms:
             return None
         told = Totals(life=self.life, now_us=now, totals=[Total(tenant=name) for name in self.alarms])
         self.alarms.clear()
         return told
 
-    def word(self, now: int, name: str, source: Source, asked: bool, number: int) -> Total:
+    def grant(self, now: int, name: str, source: Source, asked: bool, number: int) -> Total:
         """What a source may pass of a tenant, as a ceiling on its running count."""
         pool = self.pools[name]
         tight = self.is_tight(now, name, pool)
-        given = source.given.get(name)
-        if given is None:
+        grant = source.grants.get(name)
+        if grant is None:
             # A ceiling below any count.
-            given = source.given[name] = Given(0, 0, known=False, used_at=now)
-        may = self.share(pool, given, now, asked)
-        if given.until > NEVER:
-            pool.out -= given.left()
+            grant = source.grants[name] = Grant(0, 0, known=False, used_at=now)
+        may = self.share(pool, grant, now, asked)
+        if grant.until > NEVER:
+            pool.out -= grant.left()
         else:
             pool.active += 1
-            given.told.clear()
-        ceiling = given.count + may
-        if not tight and given.told:
-            ceiling = max(ceiling, given.told[-1][1])
-        given.tell(number, ceiling)
-        if len(given.told) > 1:
+            grant.told.clear()
+        ceiling = grant.count + may
+        if not tight and grant.told:
+            ceiling = max(ceiling, grant.told[-1][1])
+        grant.raise_or_lower(number, ceiling)
+        if len(grant.told) > 1:
             source.unsure.add(name)
-        given.until = now + STALE_US
-        pool.out += given.left()
-        pool.ends.append((given.until, source, given))
+        grant.until = now + STALE_US
+        pool.out += grant.left()
+        pool.ends.append((grant.until, source, grant))
         pool.windows.roll(now // pool.shape.length_us)
         windows, level = pool.windows, min(0, int(pool.level))
         total = Total(tenant=name, ceiling=ceiling, level=level)
         total.current, total.previous = windows.current, windows.previous
         return total
 
-    def share(self, pool: Pool, given: Given, now: int, asked: bool) -> int:
-        kept = kept_of(pool.shape, self.ingresses) / self.ingresses
-        free = self.free(pool) + (given.left() if given.until > NEVER else kept)
+    def share(self, pool: Pool, grant: Grant, now: int, asked: bool) -> int:
+        kept = reserve_of(pool.shape, self.ingresses) / self.ingresses
+        free = self.free(pool) + (grant.left() if grant.until > NEVER else kept)
         if not asked:
             # Danger: a tenant of few requests comes now here, now there.
-            return int(given.known and free >= 1.0 + given.left())
+            return int(grant.known and free >= 1.0 + grant.left())
         base = 0.0 if pool.tight else kept
         divided = pool.level + pool.shape.ahead - base * self.ingresses
-        mine = faded(given.used, now - given.used_at)
+        mine = faded(grant.used, now - grant.used_at)
         share = mine / max(1e-9, faded(pool.used, now - pool.used_at))
         share = (1.0 - EVEN_PART) * min(1.0, share) + EVEN_PART / max(1, pool.active)
         # Danger: what lies unused at one ingress is missing where the next request comes.
         may = min(free, base + min(share * max(0.0, divided), NEED_LEAST + NEED * mine))
         if not pool.tight:
-            return int(max(may, first_of(pool.shape, self.ingresses)))
+            return int(max(may, first_allowance(pool.shape, self.ingresses)))
         return int(may) if may >= 1.0 else int(free >= 1.0)
--- a/vetchusher/limits/windows.py
+++ b/vetchusher/limits/windows.py
@@ -81,36 +81,36 @@
     return (held + shape.depth + shape.ahead) / (held + shape.beyond)
 
 
-PART_KEPT = 0.6  # of depth and ahead: what ingresses without a word may take, all together
-RUSH, RUSH_S = 9.0, 0.16  # times the rate that a tenant may suddenly send, and how long until all know
-LOOSE = 0.95  # of depth and ahead: a smaller rush is borne, whoever takes it
+RESERVED_PART = 0.6  # of depth and ahead: what ingresses without a grant may take, all together
+SURGE, SURGE_S = 9.0, 0.16  # times the rate that a tenant may suddenly send, and how long until all know
+LOOSE = 0.95  # of depth and ahead: a smaller surge is borne, whoever takes it
 LOOSE_FIRST = 3.0  # requests each, then
 
 
-def part_of(shape: Shape, ingresses: int) -> float:
+def cut_off_share(shape: Shape, ingresses: int) -> float:
     """What an ingress may pass that is cut off, however many are: all such parts fit together."""
-    return PART_KEPT * (shape.depth + shape.ahead) / max(1, ingresses)
+    return RESERVED_PART * (shape.depth + shape.ahead) / max(1, ingresses)
 
 
-def rush_of(shape: Shape) -> float:
+def surge_of(shape: Shape) -> float:
     """What may come in at all ingresses together before they hear that little is left."""
-    return RUSH * RUSH_S * shape.rate
+    return SURGE * SURGE_S * shape.rate
 
 
-def first_of(shape: Shape, ingresses: int) -> float:
-    """What an ingress in touch may pass that has no word on a tenant: at least a request."""
-    loose = rush_of(shape) <= LOOSE * (shape.depth + shape.ahead)
-    return max(LOOSE_FIRST if loose else 1.0, part_of(shape, ingresses) // 1.0)
+def first_allowance(shape: Shape, ingresses: int) -> float:
+    """What an ingress in touch may pass without a grant for a tenant: at least one request."""
+    loose = surge_of(shape) <= LOOSE * (shape.depth + shape.ahead)
+    return max(LOOSE_FIRST if loose else 1.0, cut_off_share(shape, ingresses) // 1.0)
 
 
 def is_thin(shape: Shape, ingresses: int) -> bool:
-    """Whether the firsts of all ingresses are more than is kept back for them."""
-    return ingresses * first_of(shape, ingresses) > rush_of(shape)
+    """Whether the first allowances of all ingresses exceed what is reserved for them."""
+    return ingresses * first_allowance(shape, ingresses) > surge_of(shape)
 
 
-def kept_of(shape: Shape, ingresses: int) -> float:
-    """What is kept back for ingresses without a word: what they may take, or what can come to them."""
-    return min(ingresses * first_of(shape, ingresses), rush_of(shape))
+def reserve_of(shape: Shape, ingresses: int) -> float:
+    """What is reserved for ingresses without a grant: what they may take, or what can come to them."""
+    return min(ingresses * first_allowance(shape, ingresses), surge_of(shape))
 
 
 class Counts:
--- a/vetchusher/routing/__init__.py
+++ b/vetchusher/routing/__init__.py
@@ -1,4 +1,8 @@
-"""A request's way: route, key, homes, server, tries, and what was seen and what that claims."""
+"""Routing: a request's way from its head to its answer.
+
+Route and tenant, allowed regions, server, attempts, and what an attempt's outcome claims.  Others use the
+names below, and the header names of `headers`.  Nothing here does I/O.
+"""
 
 from .choice import Choice
 from .claims import Claim, Seen
--- a/vetchusher/routing/choice.py
+++ b/vetchusher/routing/choice.py
@@ -1,10 +1,11 @@
-"""Which server gets a request, by what this ingress has seen of each itself.
+"""Load balancing: which server gets a request, by what this ingress has seen of each itself.
 
-An ingress keeps to its patch (`patches`) while that does well, and strays where it does not.
+Two servers are drawn at random and the one with the lower expected cost is taken (power of two choices,
+Mitzenmacher 2001), from this ingress's subset (`subsets`) unless that does badly.  Servers that fail rest
+(outlier detection).
 
-`Choice` owns one `Standing` for each server of the list as it was last told (`servers`), and one smoothed
-time for each service and region; both go when the list no longer names them.  All times are us on one steady
-clock.
+`Choice` owns one `ServerState` for each server of the newest list, and one smoothed time for each service and
+region; both go when the list no longer names them.  All times are us on one steady clock.
 """
 
 from __future__ import annotations
@@ -18,38 +19,41 @@
 from vetchusher.settings.configuration import Service
 
 from .claims import Seen
-from .patches import Patches
+from .subsets import Subsets
 
 COLD_BURST = 3.0  # requests that a cold server may get at once: what it is allowed in a second is more
-THAW_LAG_US = 2_000_000  # after an evacuation ends: until the list would tell which of its servers are cold
+REOPENED_LAG_US = 2_000_000  # after an evacuation ends: until the list says which of its servers are cold
 SMOOTH = 0.15  # weight of the newest time
 FORGET_US = 5_000_000  # half of what sets a server's time apart from its service's is forgotten in this time
 FIRST_TIME_US = 50_000  # before anything was seen
-WAY_US = 60_000  # what a region not yet tried is taken to be farther than this one
-STRAY = 1.75  # usual times that the best of the patch may take before one beyond it is looked at
+REMOTE_REGION_US = 60_000  # added to the time of a region not yet tried
+OUTSIDE_FACTOR = 1.75  # usual times that the best of the subset may cost before others are considered
 HUNG_TIMES = 3.0  # usual times without an answer: what was given up after that counts as a failure
-LEARN = 0.25  # weight of the newest end in the part of requests that fail
+FAILURE_WEIGHT = 0.25  # weight of the newest outcome in the smoothed failure rate
 FAILURE_TIMES = 2.0  # a failure counts as that many usual times at least: quick failures must not attract
-CUT, GROW = 0.7, 0.2  # of the bound on requests out: when the server was full; for as many answers as are out
+SHRINK, GROW = (
+    0.7,
+    0.2,
+)  # of the bound on requests out: when the server was full; for as many answers as are out
 QUEUE_PART = 0.5  # of the capacity: what a server queues beyond it, as far as is counted on
 FAILURES_IN_ROW = 3
 REST_US, MOST_REST_US = 400_000, 8_000_000
-GLANCES = 6  # draws before all are looked at
+RANDOM_DRAWS = 6  # before all servers are looked at
 
 _FULL = frozenset({Seen.NOT_EXECUTED})
 _FAILED = frozenset({Seen.RESET, Seen.GARBLED, Seen.SILENT, Seen.SERVER_ERROR})
 
 
 @dataclass(slots=True)
-class Standing:
+class ServerState:
     """What is known of one server.
 
     :param bound: requests that may be out there from here at once; at least 1
     :param time_us: smoothed time from sending to the answer, the way included; 0: none yet
     :param failures: in a row
-    :param ill: smoothed part of the requests that failed
-    :param waiting: when each request of which nothing has been heard was sent (us), the oldest first
-    :param patch: this ingress keeps to it
+    :param failure_rate: smoothed, as of `failure_rate_at`
+    :param waiting: when each request without a response yet was sent (us), the oldest first
+    :param preferred: it is in this ingress's subset
     """
 
     server: Server
@@ -59,10 +63,10 @@
     time_us: float = 0.0
     timed_at: int = 0
     failures: int = 0
-    ill: float = 0.0
-    ill_at: int = 0
+    failure_rate: float = 0.0
+    failure_rate_at: int = 0
     waiting: list[int] = field(default_factory=list)
-    patch: bool = True
+    preferred: bool = True
     rest_us: int = 0
     rest_until: int = 0
     dropped: bool = False  # it answered that another server has its address
@@ -71,7 +75,7 @@
 
 
 class Choice:
-    """:param node: this ingress's name, by which rows name the keeper of a cold server
+    """:param node: this ingress's name, by which rows name the owner of a cold server's budget
     :param zones: the region of each zone
     """
 
@@ -80,15 +84,15 @@
         self.node = node
         self.region = region
         self.zones = zones
-        self.patches = Patches(node)
+        self.subsets = Subsets(node)
         self.services: Mapping[str, Service] = {}
-        self.standings: dict[str, Standing] = {}
+        self.standings: dict[str, ServerState] = {}
         self.places: dict[
-            str, dict[str, list[Standing]]
+            str, dict[str, list[ServerState]]
         ] = {}  # by service and region: what may be used at all
         self.means: dict[tuple[str, str], float] = {}  # smoothed times (us) by service and region
         self.closed: frozenset[str] = frozenset()  # zones under evacuation
-        self.kept_until = 0  # us: until then this ingress may use the cold servers that it keeps
+        self.kept_until = 0  # us: until then this ingress may use the cold budgets that it owns
         self.reopened: dict[
             str, int
         ] = {}  # by zone: when its last evacuation ended; as many as there are zones
@@ -107,15 +111,15 @@
         for server in servers:
             standing = before.get(server.instance)
             if standing is None:
-                standing = Standing(server, self.zones.get(server.zone, ""), self._first_bound(server))
+                standing = ServerState(server, self.zones.get(server.zone, ""), self._first_bound(server))
             standing.server = server
             self.standings[server.instance] = standing
-        self.patches.keep(self.standings)
+        self.subsets.keep(self.standings)
         self._place()
 
     def ingresses(self, zones: Mapping[str, str]) -> None:
         """The zones of those of this region that may be serving, by node name."""
-        if self.patches.ingresses(zones):
+        if self.subsets.ingresses(zones):
             self._place()
 
     def evacuated(self, zones: frozenset[str], now: int) -> None:
@@ -135,7 +139,7 @@
             for some in regions.values():
                 for standing in some:
                     server = standing.server
-                    standing.patch = self.patches.holds(server.instance, server.zone, len(some))
+                    standing.preferred = self.subsets.holds(server.instance, server.zone, len(some))
         self.means = {key: m for key, m in self.means.items() if key[1] in self.places.get(key[0], {})}
 
     def choose(
@@ -146,8 +150,8 @@
         exclude: Collection[str] = (),
         loss_us: int = 0,
     ) -> Server | None:
-        """A server with room: warm ones of the own region, then its cold ones that are kept here, then those
-        of the region whose answers come soonest.
+        """A server with room: warm ones of the own region, then its cold ones owned here, then those of the
+        region whose answers come soonest.
 
         :param allowed: regions; none named at all: every region
         :param exclude: instances that this request has been sent to
@@ -168,21 +172,21 @@
         return None
 
     def _warm(
-        self, now: int, some: list[Standing], exclude: Collection[str], loss_us: int
-    ) -> Standing | None:
-        """One of the patch, unless that would take too long: then one beyond it may do better."""
+        self, now: int, some: list[ServerState], exclude: Collection[str], loss_us: int
+    ) -> ServerState | None:
+        """A server of the subset, unless one outside costs less and the subset costs too much."""
 
-        def cost(standing: Standing) -> float:
+        def cost(standing: ServerState) -> float:
             return self._cost(now, standing, loss_us)
 
-        patch = [s for s in some if s.patch]
-        enough = STRAY * self._mean(some[0].server.service, some[0].region)
-        found = self._pair(now, patch, exclude, cost)
+        subset = [s for s in some if s.preferred]
+        enough = OUTSIDE_FACTOR * self._mean(some[0].server.service, some[0].region)
+        found = self._pair(now, subset, exclude, cost)
         if found is not None and cost(found) > enough:
-            fit = [s for s in patch if self._fit(now, s, exclude)]
+            fit = [s for s in subset if self._fit(now, s, exclude)]
             found = min(fit, key=lambda s: (cost(s), self.rng.random()))
-        if len(patch) < len(some) and (found is None or cost(found) > enough):
-            other = self._pair(now, [s for s in some if not s.patch], exclude, cost)
+        if len(subset) < len(some) and (found is None or cost(found) > enough):
+            other = self._pair(now, [s for s in some if not s.preferred], exclude, cost)
             if other is not None and (found is None or cost(other) < cost(found)):
                 return other
         return found
@@ -190,13 +194,13 @@
     def _pair(
         self,
         now: int,
-        some: list[Standing],
+        some: list[ServerState],
         exclude: Collection[str],
-        cost: Callable[[Standing], float],
-    ) -> Standing | None:
+        cost: Callable[[ServerState], float],
+    ) -> ServerState | None:
         """Two at random among the usable ones, and the one that should answer sooner."""
-        first: Standing | None = None
-        for _ in range(GLANCES if len(some) > GLANCES else 0):
+        first: ServerState | None = None
+        for _ in range(RANDOM_DRAWS if len(some) > RANDOM_DRAWS else 0):
             drawn = some[int(self.rng.random() * len(some))]
             if drawn is not first and self._fit(now, drawn, exclude):
                 if first is not None:
@@ -207,27 +211,27 @@
             fit = self.rng.sample(fit, 2)
         return min(fit, key=cost, default=None)
 
-    def _fit(self, now: int, standing: Standing, exclude: Collection[str]) -> bool:
+    def _fit(self, now: int, standing: ServerState, exclude: Collection[str]) -> bool:
         return self._usable(now, standing, exclude) and not self._is_cold(now, standing)
 
-    def _cold(self, now: int, some: list[Standing], exclude: Collection[str]) -> Standing | None:
-        """A cold one that this ingress keeps and that may have one more now.
+    def _cold(self, now: int, some: list[ServerState], exclude: Collection[str]) -> ServerState | None:
+        """A cold server whose budget this ingress owns and that may have one more request now.
 
-        Danger: only the named keeper may send, and only at the allowed rate: what is allowed is meant for
-        all ingresses together.  One that is out of touch may be the keeper no more.
+        Danger: only the named owner may send, and only at the allowed rate, which is meant for all ingresses
+        together.  An ingress that is out of touch may have lost the ownership.
         """
         if now >= self.kept_until:
             return None
         for standing in some:
             server = standing.server
-            if server.keeper != self.node or now < server.kept_from:
+            if server.cold_owner != self.node or now < server.owned_from:
                 continue
             if self._usable(now, standing, exclude) and self._is_cold(now, standing):
                 if self._tokens(now, standing) >= 1.0:
                     return standing
         return None
 
-    def _usable(self, now: int, standing: Standing, exclude: Collection[str]) -> bool:
+    def _usable(self, now: int, standing: ServerState, exclude: Collection[str]) -> bool:
         return (
             standing.out + 1 <= standing.bound
             and now >= standing.rest_until
@@ -235,16 +239,16 @@
             and standing.server.instance not in exclude
         )
 
-    def _is_cold(self, now: int, standing: Standing) -> bool:
+    def _is_cold(self, now: int, standing: ServerState) -> bool:
         server = standing.server
         if now < server.cold_until:
             return True
         if (opened := self.reopened.get(server.zone)) is None:
             return False
         service = self.services.get(server.service)
-        return now < opened + int((service.cold_s if service else 0.0) * 1e6) + THAW_LAG_US
+        return now < opened + int((service.cold_s if service else 0.0) * 1e6) + REOPENED_LAG_US
 
-    def _tokens(self, now: int, standing: Standing) -> float:
+    def _tokens(self, now: int, standing: ServerState) -> float:
         service = self.services.get(standing.server.service)
         rate = service.cold_rate_s if service else 0.0
         return min(COLD_BURST, standing.tokens + rate * max(0, now - standing.tokens_at) / 1e6)
@@ -254,13 +258,13 @@
         if known is not None:
             return known
         near = self.means.get((service, self.region), FIRST_TIME_US)
-        return near if region == self.region else near + WAY_US
+        return near if region == self.region else near + REMOTE_REGION_US
 
-    def _cost(self, now: int, standing: Standing, loss_us: int = 0) -> float:
-        """What a request sent now may wait for: as many as are out there, and itself, one time each; and what
-        is lost if it fails.
+    def _cost(self, now: int, standing: ServerState, loss_us: int = 0) -> float:
+        """Expected time of a request sent now: one smoothed time for each request out and for itself, plus
+        what a failure would lose.
 
-        A request of which nothing has been heard for longer than that shows how long it takes there now.
+        A request that has waited longer than the smoothed time raises it.
         """
         mean = self._mean(standing.server.service, standing.region)
         apart = standing.time_us - mean if standing.time_us else 0.0
@@ -268,11 +272,11 @@
         time = max(0.0, mean + apart * kept)
         if standing.waiting:
             time = max(time, now - standing.waiting[0])
-        return (standing.out + 1) * time + self._ill(now, standing) * max(float(loss_us), mean)
+        return (standing.out + 1) * time + self._failure_rate(now, standing) * max(float(loss_us), mean)
 
-    def _ill(self, now: int, standing: Standing) -> float:
-        kept: float = 0.5 ** ((now - standing.ill_at) / FORGET_US) if standing.ill else 0.0
-        return standing.ill * kept
+    def _failure_rate(self, now: int, standing: ServerState) -> float:
+        kept: float = 0.5 ** ((now - standing.failure_rate_at) / FORGET_US) if standing.failure_rate else 0.0
+        return standing.failure_rate * kept
 
     def sent(self, now: int, instance: str) -> None:
         """A request goes there; `ended` is owed for it."""
@@ -309,7 +313,7 @@
         if seen is Seen.MISDIRECTED:
             standing.dropped = True
         elif seen in _FULL or (prompt and seen is Seen.RESET):
-            standing.bound = max(1.0, min(standing.bound, standing.out + 1.0) * CUT)
+            standing.bound = max(1.0, min(standing.bound, standing.out + 1.0) * SHRINK)
             if seen in _FULL:
                 standing.failures = 0
                 return None
@@ -328,7 +332,7 @@
                 standing.bound = min(most, standing.bound + GROW / standing.bound)
         return None
 
-    def _learn(self, now: int, standing: Standing, seen: Seen, took_us: int) -> None:
+    def _learn(self, now: int, standing: ServerState, seen: Seen, took_us: int) -> None:
         """Its health, by how this request ended.
 
         Danger: a server that hangs would never be blamed for what was given up in favour of a second copy.
@@ -336,10 +340,10 @@
         mean = self._mean(standing.server.service, standing.region)
         hung = seen is Seen.CANCELLED and took_us > HUNG_TIMES * mean
         if hung or seen is Seen.ANSWERED or seen is Seen.NO_CONNECTION or seen in _FAILED:
-            ill, failed = self._ill(now, standing), float(seen is not Seen.ANSWERED)
-            standing.ill, standing.ill_at = ill + LEARN * (failed - ill), now
+            before, failed = self._failure_rate(now, standing), float(seen is not Seen.ANSWERED)
+            standing.failure_rate, standing.failure_rate_at = before + FAILURE_WEIGHT * (failed - before), now
 
-    def _time(self, now: int, standing: Standing, took_us: int, failed: bool) -> None:
+    def _time(self, now: int, standing: ServerState, took_us: int, failed: bool) -> None:
         key = (standing.server.service, standing.region)
         mean = self._mean(*key)
         took = max(float(took_us), FAILURE_TIMES * mean) if failed else float(took_us)
@@ -349,7 +353,7 @@
         if not failed:
             self.means[key] = took if key not in self.means else mean + SMOOTH / 2 * (took - mean)
 
-    def _failed(self, now: int, standing: Standing, weight: int) -> LogEvent | None:
+    def _failed(self, now: int, standing: ServerState, weight: int) -> LogEvent | None:
         """Rest it after failures in a row, longer each time.
 
         Danger: what looks like many bad servers may be a bad path from here, or a bad kind of request; with
--- a/vetchusher/routing/claims.py
+++ b/vetchusher/routing/claims.py
@@ -1,5 +1,8 @@
-"""What was seen of an attempt, what that claims, and what may follow.  Everything that decides whether a
-request may run again, or whether its client may be told that it never ran, is read from these tables."""
+"""The outcome of an attempt, what it claims about the server, and what may follow.
+
+Everything that decides whether a request may run again, or whether its client may be told that it never ran,
+is read from these tables (RFC 9110, sections 9.2.2 and 15.6, and the servers' own markers).
+"""
 
 from __future__ import annotations
 
--- a/vetchusher/routing/headers.py
+++ b/vetchusher/routing/headers.py
@@ -1,4 +1,4 @@
-"""Which headers pass from a client to a server and back."""
+"""Which headers are forwarded from a client to a server and back (RFC 9110, section 7.6.1)."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 # Danger: of two values of one of these, a server may go by the other one.
 DECIDING = frozenset({"host", "authorization", "content-length", ATTEMPT_ID.lower(), TIME_REMAINING.lower()})
 
-_ONE_HOP = frozenset({"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "expect"})
+_HOP_BY_HOP = frozenset(
+    {"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "expect"}
+)
 _OURS = frozenset(name.lower() for name in (ATTEMPT_ID, TIME_REMAINING, TARGET_INSTANCE, SUBSCRIBER))
-_SET_ANEW = _OURS | {"host", "content-length"}
+_REPLACED = _OURS | {"host", "content-length"}
 
 Headers = list[tuple[str, str]]
 
@@ -24,12 +26,12 @@
 def passed_on(headers: Iterable[tuple[str, str]], keyed: bool) -> Headers:
     """A request's headers that go along to a server: all but those that concern one connection only, those
     that are set anew for each attempt, and, where requests bear keys, the key."""
-    dropped = _SET_ANEW | {"authorization"} if keyed else _SET_ANEW
+    dropped = _REPLACED | {"authorization"} if keyed else _REPLACED
     return _end_to_end(headers, dropped)
 
 
 def passed_back(headers: Iterable[tuple[str, str]]) -> Headers:
-    """An answer's headers that go back to the client; its length is told anew."""
+    """An answer's headers that go back to the client; its length is stated anew."""
     return _end_to_end(headers, frozenset({"content-length"}))
 
 
@@ -43,9 +45,9 @@
         low = name.lower()
         if low == "connection":
             named.update(option.strip().lower() for option in value.split(","))
-        if low not in _ONE_HOP and low not in dropped and not low.startswith("proxy-"):
+        if low not in _HOP_BY_HOP and low not in dropped and not low.startswith("proxy-"):
             kept.append((written.setdefault(low, name), value))
-    # Danger: what a client names there must not take away what decides.
+    # Danger: a client's Connection header must not remove the headers that decide.
     if named := named - _OURS - {SEAL.lower(), NOT_EXECUTED.lower(), "close", "keep-alive"}:
         kept = [(name, value) for name, value in kept if name.lower() not in named]
     return kept
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -1,6 +1,6 @@
-"""One request's way from its head to its one answer: what is judged, sent, sent again and answered.
+"""The state machine of one request: from its head to its one answer, with retries.
 
-No I/O: whoever holds the sockets carries out the acts and tells what came of each.
+No I/O: the caller carries out the acts and feeds back what became of each attempt.
 """
 
 from __future__ import annotations
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Close the connection of that attempt; nothing is owed for it any more."""
+    """Close the connection of that attempt; no outcome is expected for it."""
 
     number: int
 
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True)
 class Ground:
-    """What all requests of an ingress are judged by.  A request keeps the table that it began with.
+    """What all requests of an ingress share.  A request keeps the route table that it began with.
 
     :param fresh: the table is surely the one in force; else what it does not allow cannot be refused for good
     :param times: smoothed times of answers (us) by route; `configure` drops those of routes that are gone
@@ -165,8 +165,8 @@
         self.route = route
         self.tenant = tenant
         self.repeatable = route.route_type.repeatable
-        told = next((v for n, v in head.headers if n.lower() == TIME_REMAINING.lower()), "")
-        client_ms = float(told) if _MILLIS.fullmatch(told) else MOST_WAIT_MS
+        stated = next((v for n, v in head.headers if n.lower() == TIME_REMAINING.lower()), "")
+        client_ms = float(stated) if _MILLIS.fullmatch(stated) else MOST_WAIT_MS
         patience = int(min(client_ms, route.timeout_ms, MOST_WAIT_MS) * 1000)
         self.deadline = head.arrived_at + max(1, patience - MARGIN_US)
         self.head = head
@@ -201,10 +201,10 @@
         # Danger: counted before it is known that it can be sent, what is refused here would eat the quota.
         if tenant is not None and tenant.rate_per_s > 0 and not self.ground.tally.admit(now, tenant.name):
             self.done = True
-            # Those who were refused together shall not come back together.
+            # Jitter: clients refused together must not return together.
             wait = self.ground.tally.room_at(now, tenant.name) * (1.0 + 0.5 * self.ground.rng.random())
-            told = int(min(MOST_QUOTA_WAIT_US, max(LEAST_QUOTA_WAIT_US, wait)))
-            return [Refuse(Fault(Kind.OVER_QUOTA, "over the quota", told))]
+            retry_after = int(min(MOST_QUOTA_WAIT_US, max(LEAST_QUOTA_WAIT_US, wait)))
+            return [Refuse(Fault(Kind.OVER_QUOTA, "over the quota", retry_after))]
         self.ground.budget.first(now, self.service)
         acts: list[Act] = [self._send(now, server)]
         if self.repeatable and self.route.max_attempts > 1:
