--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -2,7 +2,7 @@
 drawn, and a judge of the rules.
 
 Stories: a row a moment, a column an ingress, then the core, the servers and the operator (see
-`emulator/hive_stories.py`)."""
+`emulator/system/scenarios.py`)."""
 
 from testtools import TestCase
 
--- a/vetchusher/emulator/__init__.py
+++ b/vetchusher/emulator/__init__.py
@@ -1,6 +1,7 @@
-"""Stand-ins of the systems outside an ingress, scripted and fault-injecting: one set for tests,
-rehearsals and experiments.
+"""Test beds: stand-ins of outside systems, virtual time, judges, searches, mutations, and rigs of processes.
 
-`counter`, `network` and `demand` are models free of I/O; `virtual` drives them, and the decision module, in
-virtual time; `sockets` drives the same models on loopback.  Nothing here is imported by `serve`.
+`control`, `system`, `quota`, `membership` and `duties` emulate one subsystem each, `outside` has the stand-ins.
+They share `fleet_world` (a cluster in virtual time), `explorer` (all interleavings), `network`, `paths` and
+`cuts` (faults between processes), `processes` and `rig` (real processes), `faults` and `wal`.
+No part of either program imports this package.
 """
--- a/vetchusher/emulator/duties/__init__.py
+++ b/vetchusher/emulator/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one ingress holds at a time, in virtual time and with real processes."""
+"""Duties, in virtual time (`world`, `explorer`) and with real processes (`rig`)."""
--- a/vetchusher/emulator/duties/mutations.py
+++ b/vetchusher/emulator/duties/mutations.py
@@ -1,4 +1,4 @@
-"""Planted faults: each guard of the duties taken out in turn, to prove that the checks can fail."""
+"""Mutations: each guard of the duties taken out in turn, to prove that the checks can fail."""
 
 from __future__ import annotations
 
--- a/vetchusher/emulator/membership/__init__.py
+++ b/vetchusher/emulator/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among ingresses in virtual time and with real processes."""
+"""Membership among ingresses, in virtual time (`world`, `checks`) and with real processes (`rig`)."""
--- a/vetchusher/emulator/quota/mutations.py
+++ b/vetchusher/emulator/quota/mutations.py
@@ -1,4 +1,4 @@
-"""Faults planted in the quotas, each of which the judge has to find."""
+"""Mutations of the quotas, each of which the judge has to find."""
 
 from __future__ import annotations
 
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -1,4 +1,4 @@
-"""Planted faults: guards of the whole system taken out in turn, to prove that its judge can see them."""
+"""Mutations: guards of the whole system taken out in turn, to prove that its judge can see them."""
 
 from __future__ import annotations
 
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -127,7 +127,7 @@
 
 
 class Errands:
-    """The place of `hive.tries.Attempts` at one ingress."""
+    """The place of `vetchusher.node.attempts.Attempts` at one ingress."""
 
     def __init__(self, loop: ProcessLoop, servers: Servers) -> None:
         self.loop, self.servers, self.net = loop, servers, servers.net
--- a/vetchusher/limits/guard.py
+++ b/vetchusher/limits/guard.py
@@ -1,6 +1,7 @@
 """The face of `limits`: one ingress's view of the counter's state and of what its peers passed.
 
-It owns the peers' sums (`Spends`), the line of firms with news to tell, and when each peer was last heard.
+Decides what is sent to which peer, and how far the counter's totals can be trusted.  It owns the peers' sums
+(`Spends`), the queue of firms with updates, and each peer's last contact.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 from .spends import Spends
 from .tuning import Tuning
 
-ANSWER_US = 1_000_000  # us for which a peer that asks is told the news
-IDLE_PAUSES = 2  # pauses between two messages without news: two of them are still within `heard_us`
-TELLS = 2  # times each news is told: one datagram in fourteen is lost
+ANSWER_US = 1_000_000  # us for which a peer that asks is sent updates
+IDLE_PAUSES = 2  # pauses between two messages without updates: two of them are still within `heard_us`
+SENDS = 2  # times that each update is sent: one datagram in fourteen is lost
 INBOX_PART = 0.6  # of what a peer takes in that all the others together may send it
 DISAGREE_UNITS = 1.5  # the peers' own sums beyond a fresh total, that chance and clocks do not make
-MOST_TOLD = 64  # marks told at a tick; beyond that the oldest are not told
-MOST_NEWS = 4_096  # firms with news; beyond that the oldest news waits for its firm's next command
-HOT_PART = 0.7  # of the burst, used in two windows: above this a firm's news is told while in doubt only
-WARM_PART = 0.05  # of the burst: below this a newborn peer is not told of a firm
+MOST_MARKS = 64  # marks sent at a tick; beyond that the oldest are dropped
+MOST_UPDATES = 4_096  # firms with updates; beyond that a firm waits for its next command
+HOT_PART = 0.7  # of the burst, used in two windows: above this an update is sent though only in doubt
+WARM_PART = 0.05  # of the burst: below this a firm is not in the backlog of a newborn peer
 
-Tell = Callable[[api.Action], None]
+Emit = Callable[[api.Action], None]
 
 
 @dataclass(slots=True)
 class Peer:
-    """What is kept of one other ingress; there are as many as the settings count."""
+    """What is known of one other ingress; there are as many as the settings count."""
 
     heard_at: int = -1
     life: int = 0
@@ -42,9 +43,9 @@
     asks_until: int = 0
     newborn_until: int = 0
     spoken_at: int = 0
-    news: dict[int, int] = field(default_factory=dict)  # by customer key: times it is still to be told
-    walk: list[int] = field(default_factory=list)  # customers still to be told to it, as it is newborn
-    walked: int = 0  # the life for which that list was made
+    updates: dict[int, int] = field(default_factory=dict)  # by customer key: times it is still to be sent
+    backlog: list[int] = field(default_factory=list)  # customers still to be sent to it, as it is newborn
+    backlog_life: int = 0  # the life for which the backlog was made
 
 
 class Limits:
@@ -65,12 +66,12 @@
         self.spends = Spends()
         self.marks = Marks()
         self.lengths = [window_length(p) for p in settings.plans]
-        self.news: deque[tuple[Customer, Mark]] = deque(maxlen=MOST_TOLD)  # marks to be told at the next tick
+        self.updates: deque[tuple[Customer, Mark]] = deque(maxlen=MOST_MARKS)  # for the next tick
         self.peers: dict[int, Peer] = {}
         self.on = settings.peers and settings.counter and settings.gateways > 1
         self.born = -1
         self.life = 0
-        self.told_state = State.TRUSTED
+        self.logged_state = State.TRUSTED
         self.foreign = 0  # datagrams that could not be used
         self.gone: frozenset[int] = frozenset()  # ingresses taken to be dead or to have left
 
@@ -80,7 +81,7 @@
     # -- what the module asks ---------------------------------------------------------
 
     def whole(self, now: int, who: Customer) -> bool:
-        """Whether all ingresses of a customer's set have told their use lately."""
+        """Whether all ingresses of a customer's set have reported their use lately."""
         if not self.on:
             return False
         for number in self.set_of(who):
@@ -137,25 +138,25 @@
         since = max(self.born, self.health.since)
         return min(even, units + (now - since) * who.plan.rate / who.doors / 1e6)
 
-    # -- what the module tells --------------------------------------------------------
+    # -- what the module reports --------------------------------------------------------
 
     def passed(self, who: Customer) -> None:
         """A command of this customer was sent on."""
         if not self.on or who.thin or not who.length:
             return
         for number in self.set_of(who):
-            news = self.peer(number).news
-            if len(news) < MOST_NEWS or who.key in news:
-                news[who.key] = TELLS
+            updates = self.peer(number).updates
+            if len(updates) < MOST_UPDATES or who.key in updates:
+                updates[who.key] = SENDS
 
     def spent(self, now: int, who: Customer, count: float) -> None:
         """A total shows that a customer's store is spent; see `Marks.note`."""
         mark = self.marks.note(now, who, count)
         if mark is not None and self.on:
-            self.news.append((who, mark))
+            self.updates.append((who, mark))
 
     def fill(self, who: Customer) -> None:
-        """Give a customer's windows what the peers told of them before."""
+        """Set in a customer's windows what the peers reported of them before."""
         if self.spends.records:
             for window in (who.cur, who.prev):
                 self.fill_window(who, window)
@@ -177,9 +178,9 @@
             who.alone = who.cur.diff + who.prev.diff
 
     def heard(self, now: int, sender: int, data: bytes) -> None:
-        """Take in a datagram; what cannot be used changes nothing but a count."""
+        """Take in a datagram; one that cannot be used is counted and ignored."""
         if data[:1] == codec.MARK_KIND:
-            self.heard_marks(now, sender, data)
+            self.receive_marks(now, sender, data)
             return
         try:
             message = codec.read(data, self.seal)
@@ -197,9 +198,9 @@
         if message.flags & codec.NEWBORN:
             peer.newborn_until = now + ANSWER_US
         for entry in message.entries:
-            self.take_in(now, message, entry)
+            self.merge(now, message, entry)
 
-    def heard_marks(self, now: int, sender: int, data: bytes) -> None:
+    def receive_marks(self, now: int, sender: int, data: bytes) -> None:
         try:
             claimed, entries = codec.read_marks(data, now // 1_000, self.seal)
         except codec.Unreadable:
@@ -214,24 +215,24 @@
             if now - at < length and (index := codec.nearest(window, at // length)) is not None:
                 self.marks.keep(key, Mark(at, index, count))
 
-    def tell_marks(self, tell: Tell) -> None:
-        """Tell each customer's other ingresses.  Danger: untold, each pays for a call to learn it."""
-        while self.news:
-            who, mark = self.news.popleft()
+    def send_marks(self, emit: Emit) -> None:
+        """Send marks to the customer's other ingresses.  Danger: without, each pays for a call to learn it."""
+        while self.updates:
+            who, mark = self.updates.popleft()
             if (firm := codec.firm_number(who.key)) < 0:
                 continue
             entry = codec.write_mark(firm, mark.at // 1_000, mark.index, mark.count)
             data = codec.write_marks(self.settings.index, [entry], self.seal)
             for number in self.set_of(who):
                 if number not in self.gone:
-                    tell(api.Say(data, number))
+                    emit(api.Say(data, number))
 
     def seen(self, living: tuple[int, ...]) -> None:
-        """Marks are told to the living only.  What may pass never hangs on who is taken to live: counts of
-        one that is gone are missed as those of one that is cut off."""
+        """Marks are sent to the living only.  What may pass never depends on this view: counts of an ingress
+        that is gone are missed like those of one that is cut off."""
         self.gone = frozenset(range(self.settings.gateways)) - set(living)
 
-    def take_in(self, now: int, message: codec.Message, entry: codec.Entry) -> None:
+    def merge(self, now: int, message: codec.Message, entry: codec.Entry) -> None:
         key = codec.key_of(entry.firm)
         length = self.length_of(key)
         if not length or (index := codec.nearest(entry.window, now // length)) is None:
@@ -244,17 +245,17 @@
                 if window.index == index:
                     window.told = total
 
-    # -- speaking ---------------------------------------------------------------------
+    # -- sending ---------------------------------------------------------------------
 
-    def tick(self, now: int, tell: Tell) -> None:
-        """Say what is due, and log a change of state."""
-        if self.health.state is not self.told_state:
-            self.told_state = self.health.state
-            tell(self.describe())
+    def tick(self, now: int, emit: Emit) -> None:
+        """Send what is due, and log a change of state."""
+        if self.health.state is not self.logged_state:
+            self.logged_state = self.health.state
+            emit(self.describe())
         self.marks.sweep(now, self.lengths)
         if not self.on:
             return
-        self.tell_marks(tell)
+        self.send_marks(emit)
         self.spends.sweep(now)
         newborn = now - self.born < self.tuning.newborn_us
         uneasy = newborn or self.health.uneasy(now)
@@ -266,31 +267,31 @@
         for number, peer in self.peers.items():
             if not uneasy and now >= peer.asks_until and now >= peer.newborn_until:
                 continue
-            # With nothing to tell, a word now and then says that nothing passed.
-            if now - peer.spoken_at >= pause * (1 if peer.news or peer.walk else IDLE_PAUSES):
+            # With no updates, an occasional message says that nothing passed.
+            if now - peer.spoken_at >= pause * (1 if peer.updates or peer.backlog else IDLE_PAUSES):
                 peer.spoken_at = now
-                self.speak(now, number, peer, uneasy, newborn, tell)
+                self.send(now, number, peer, uneasy, newborn, emit)
 
     def pause(self) -> int:
-        """Between two messages to one peer: all who speak to it must stay within what it takes in."""
+        """Between two messages to one peer: all senders together must stay within what it takes in."""
         inbox = self.settings.peer_in_per_s
         return max(
             self.tuning.speak_us, int(len(self.peers) * 1e6 / (INBOX_PART * inbox)) if inbox > 0 else 0
         )
 
-    def speak(self, now: int, number: int, peer: Peer, uneasy: bool, newborn: bool, tell: Tell) -> None:
+    def send(self, now: int, number: int, peer: Peer, uneasy: bool, newborn: bool, emit: Emit) -> None:
         flags = codec.ASKS * uneasy | codec.NEWBORN * newborn
         head = codec.Message(self.settings.index, self.life, self.health.state, flags, now // 1_000)
         # While totals are only suspected, what cannot change a decision soon is not worth its bytes.
         calm = not newborn and State.TRUSTED is self.health.state is peer.state and now >= peer.newborn_until
-        entries = self.news_for(now, number, peer, calm)
-        tell(api.Say(codec.write(head, entries, self.seal), number))
+        entries = self.entries_for(now, number, peer, calm)
+        emit(api.Say(codec.write(head, entries, self.seal), number))
 
-    def news_for(self, now: int, number: int, peer: Peer, calm: bool) -> list[bytes]:
-        """Entries for one peer, those that can change a decision first; what it hands out is told."""
-        self.roll_walk(now, peer)
+    def entries_for(self, now: int, number: int, peer: Peer, calm: bool) -> list[bytes]:
+        """Entries for one peer, those that can change a decision first; they count as sent."""
+        self.refill_backlog(now, peer)
         most = codec.room(self.seal is not None) // 7
-        due = sorted(peer.news, key=self.urgency, reverse=True)[:most]
+        due = sorted(peer.updates, key=self.urgency, reverse=True)[:most]
         if calm:
             due = [key for key in due if self.urgency(key) >= HOT_PART]
         parts: list[bytes] = []
@@ -302,25 +303,27 @@
                 break
             left -= sum(map(len, told))
             parts += told
-            peer.news[key] -= 1
-            if who is None or peer.news[key] <= 0:
-                del peer.news[key]
-        while peer.walk and left > 0:
-            who = self.customers.get(peer.walk[-1])
+            peer.updates[key] -= 1
+            if who is None or peer.updates[key] <= 0:
+                del peer.updates[key]
+        while peer.backlog and left > 0:
+            who = self.customers.get(peer.backlog[-1])
             told = self.entries_of(now, who, number, peer) if who is not None else []
             if sum(map(len, told)) > left:
                 break
             left -= sum(map(len, told))
             parts += told
-            peer.walk.pop()
+            peer.backlog.pop()
         return parts
 
-    def roll_walk(self, now: int, peer: Peer) -> None:
-        """Danger: a newborn that the counter tells nothing would take every firm's store to be full."""
-        if now < peer.newborn_until and peer.walked != peer.life:
-            peer.walked = peer.life
-            peer.walk = [k for k, w in self.customers.items() if self.urgency(k) >= WARM_PART and not w.thin]
-            peer.walk.sort(key=self.urgency)
+    def refill_backlog(self, now: int, peer: Peer) -> None:
+        """Danger: a newborn peer without counter totals would take every firm's store to be full."""
+        if now < peer.newborn_until and peer.backlog_life != peer.life:
+            peer.backlog_life = peer.life
+            peer.backlog = [
+                k for k, w in self.customers.items() if self.urgency(k) >= WARM_PART and not w.thin
+            ]
+            peer.backlog.sort(key=self.urgency)
 
     def urgency(self, key: int) -> float:
         who = self.customers.get(key)
--- a/vetchusher/limits/spends.py
+++ b/vetchusher/limits/spends.py
@@ -1,4 +1,4 @@
-"""What other ingresses say they passed, firm by firm and window by window.
+"""What other ingresses report to have passed, firm by firm and window by window.
 
 Each ingress alone writes its own sum, once for each of its lives, and sums only grow: merging takes the
 larger of two, so nothing counts twice, in whatever order and however often messages come.
--- a/vetchusher/limits/tries.py
+++ b/vetchusher/limits/tries.py
@@ -1,4 +1,4 @@
-"""The budget of extra tries: one for the whole system, each ingress owning a part of it.
+"""The retry budget: one for the whole system, each ingress owning a part of it.
 
 In every span of `window_s`, summed over all ingresses, a service may get at most ratio x (requests for it) +
 slack tries beyond the first of each request, the requests counted in that span or in the one before it.
