--- a/tests/test_limits_invariants.py
+++ b/tests/test_limits_invariants.py
@@ -38,9 +38,9 @@
 def worst_units(world):
     """The most units by which a firm whose excess costs was overspent, with its rate."""
     found = [
-        (ledger.overspend(), ledger.firm.plan.rate)
-        for ledger in world.audit.ledgers.values()
-        if ledger.firm.plan_id in COSTLY
+        (record.overspend(), record.firm.plan.rate)
+        for record in world.audit.records.values()
+        if record.firm.plan_id in COSTLY
     ]
     return max(found, default=(0.0, 1.0))
 
--- a/vetchusher/limits/guard.py
+++ b/vetchusher/limits/guard.py
@@ -216,7 +216,7 @@
                 self.marks.keep(key, Mark(at, index, count))
 
     def send_marks(self, emit: Emit) -> None:
-        """Send marks to the customer's other ingresses.  Danger: without, each pays for a call to learn it."""
+        """Send marks to the customer's other ingresses.  Danger: without, each makes a call for it."""
         while self.updates:
             who, mark = self.updates.popleft()
             if (firm := codec.firm_number(who.key)) < 0:
