--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -20,7 +20,7 @@
   --lease MS   The lease [default: 600].
   --states N   States that all interleavings are followed to [default: 200000].
   --walks N    Random walks beyond [default: 20000].
-  --jobs N     Tiers or runs at the same time [default: 2].
+  --jobs N     Clusters or runs at the same time [default: 2].
   --keep FILE  Write the table there, as Markdown.
 """
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -18,7 +18,7 @@
   --sizes LIST  Members of a cluster in virtual time, with commas [default: 5,40,200].
   --length S   Seconds of a run in virtual time [default: 600].
   --seconds S  That idle processes are watched for [default: 20].
-  --jobs N     Tiers or runs at the same time [default: 2].
+  --jobs N     Clusters or runs at the same time [default: 2].
   --keep FILE  Write the table there, as Markdown.
   --chart FILE  Draw it there, as PNG.
 """
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_settled_units_make_no_sound_counter_look_split_or_emptied(seed):
-    world, run, calls = play(seed)
+    _world, run, calls = play(seed)
     assert not [line for _, _, line in run.log if "split" in line or "lost counts" in line or "fresh" in line]
     assert all(call.amount >= 0.0 for call in calls)  # totals only grow: a lower one has lost counts
     assert run.findings.light_lost < 0.08 and run.findings.worst < 0.25
@@ -46,10 +46,10 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_ceiling_is_kept_over_all_ingresses_by_what_commands_name(seed):
     world, _, _ = play(seed, [Fault(FaultKind.SILENT, 5 * SECOND, 15 * SECOND)])
-    for ledger in world.audit.ledgers.values():
-        if (plan := ledger.firm.plan).ceiling_rate:
+    for record in world.audit.records.values():
+        if (plan := record.firm.plan).ceiling_rate:
             level, last = plan.ceiling_burst, 0
-            for ask in sorted((a for a in world.passed if a.firm is ledger.firm), key=lambda a: a.at):
+            for ask in sorted((a for a in world.passed if a.firm is record.firm), key=lambda a: a.at):
                 level = min(plan.ceiling_burst, level + (ask.at - last) * plan.ceiling_rate / 1e6) - ask.units
                 last = ask.at
                 assert level >= -plan.ceiling_slack
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,9 +1,10 @@
-"""News: readers that pull deltas from any ledger end with the author's rows, whatever they skipped."""
+"""Distribution: readers that pull deltas from any source end with the rows of its author."""
 
 import pathlib
 import random
 import shutil
 import tempfile
+from typing import ClassVar
 
 from testtools import TestCase
 
@@ -25,20 +26,20 @@
             rng = random.Random(seed)
             written: dict[tuple[int, int], dict[str, bytes]] = {(0, 0): {}}
             # The first two may author an epoch each; the second takes over from what it has pulled.
-            ledgers = [Source("discovery") for _ in range(5)]
-            author, stamp = ledgers[0], (1, 0)
+            sources = [Source("discovery") for _ in range(5)]
+            author, stamp = sources[0], (1, 0)
             for step in range(120):
                 if step == 60:
-                    author, stamp = ledgers[1], (2, 0)
+                    author, stamp = sources[1], (2, 0)
                 if rng.random() < 0.4:
                     stamp = (stamp[0], stamp[1] + 1)
                     rows = {f"k{n}": b"%d" % rng.randrange(3) for n in range(6) if rng.random() < 0.7}
                     author.publish(stamp, rows)
                     written[stamp] = rows
-                reader, teller = rng.sample(ledgers, 2)
-                if reader is not author and (news := teller.since(reader.stamp)) is not None:
+                reader, sender = rng.sample(sources, 2)
+                if reader is not author and (news := sender.since(reader.stamp)) is not None:
                     reader.take(wire.SourceNews.FromString(news.SerializeToString()))
-                for one in ledgers:
+                for one in sources:
                     self.assertEqual(written[one.stamp], one.values())
 
     def test_nobody_goes_back_to_an_older_stamp(self):
@@ -114,10 +115,10 @@
     return Listed(instance, **(fields | {"draining": False, "cold_left_ms": 0} | over))
 
 
-class Scouts(TestCase):
-    zones = {"n-a": "n", "g-a": "g"}
+class ReaderTest(TestCase):
+    zones: ClassVar = {"n-a": "n", "g-a": "g"}
 
-    def test_one_keeper_each_of_its_region_who_stays_until_it_is_gone(self):
+    def test_one_cold_owner_each_of_its_region_who_stays_until_it_is_gone(self):
         reader = Reader(self.zones, {})
         nodes = [("e1", "n"), ("e2", "n"), ("e3", "g")]
         entries = [listed(f"i-{n}", cold_left_ms=900) for n in range(40)]
@@ -208,9 +209,9 @@
         self.addCleanup(shutil.rmtree, folder)
         author = Source("control")
         author.publish((3, 7), {"version": b'"r4"', "limits": b"{}"})
-        shelf = SnapshotStore.open(folder).unwrap()
-        shelf.save(whole(author)).unwrap()
-        shelf.close()
+        snapshots = SnapshotStore.open(folder).unwrap()
+        snapshots.save(whole(author)).unwrap()
+        snapshots.close()
         again = Source("control")
         opened = SnapshotStore.open(folder).unwrap()
         self.assertEqual(
@@ -230,7 +231,7 @@
     def test_a_file_of_an_earlier_release_is_read_under_the_names_of_today(self):
         folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, folder)
-        author = Source("comb")
+        author = Source("control")
         author.publish((3, 7), {"version": b'"r4"'})
         store = SnapshotStore.open(folder).unwrap()
         store.save(whole(author)).unwrap()
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -85,7 +85,7 @@
     world.after(20 * SECOND + seed * 100 * MS, lose)
     scene.length = 30 * SECOND
     found = world.run()
-    at, number = lost[0]
+    _at, number = lost[0]
     assert not found.wrong and len(found.gaps) == 2 and holder_of(world.tokens[0]) != number
     assert found.gaps[-1][1] < 2 * LEASE
     assert world.free_since[0] is None
--- a/tests/test_duties_processes.py
+++ b/tests/test_duties_processes.py
@@ -283,7 +283,7 @@
 def test_fleet_settings_that_cannot_be_used_are_named(tmp_path, text, place):
     path = tmp_path / "fleet.json"
     path.write_text(text)
-    with pytest.raises(SettingsError, match="^[^\n]*$") as caught:
+    with pytest.raises(SettingsError, match=r"^[^\n]*$") as caught:
         read_fleet(str(path), 5)
     assert place in str(caught.value)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -104,7 +104,7 @@
     assert sum(flood.arrival(n * 100, 0, 1, 10) is not None for n in range(10_000)) < 140
 
 
-def test_the_ledger_finds_the_worst_stretch():
+def test_the_record_finds_the_worst_stretch():
     firm = Firm(1, 1, FIRST.plans[1], "heavy", 2.0, 2, 0)
     rate, burst = firm.plan.rate, int(firm.plan.burst)
     calm = FirmRecord(firm, [(0, True, 1.0)] * burst)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -150,7 +150,7 @@
 def test_noise_is_unreadable_or_a_message_and_nothing_else(data, seal):
     try:
         message = codec.read(data, seal)
-    except codec.Unreadable as err:
+    except codec.UnreadableError as err:
         assert "\n" not in str(err)
     else:
         assert seal is None and len(message.entries) <= codec.MOST_BYTES
@@ -160,7 +160,7 @@
 def test_a_sealed_message_changed_anywhere_is_not_read(message, data):
     raw = bytearray(written(message, SEALED))
     raw[data.draw(st.integers(0, len(raw) - 1))] ^= data.draw(st.integers(1, 255))
-    with pytest.raises(codec.Unreadable):
+    with pytest.raises(codec.UnreadableError):
         codec.read(bytes(raw), SEALED)
 
 
@@ -180,14 +180,14 @@
     ],
 )
 def test_what_is_malformed_is_named(data, says):
-    with pytest.raises(codec.Unreadable, match=says):
+    with pytest.raises(codec.UnreadableError, match=says):
         codec.read(data, None)
 
 
 def test_another_key_and_no_key_do_not_read_each_other():
     raw = written(codec.Message(0, 1, State.LOST, 1, 5, ()), SEALED)
     for seal in (None, codec.seal_with(b"another")):
-        with pytest.raises(codec.Unreadable):
+        with pytest.raises(codec.UnreadableError):
             codec.read(raw, seal)
 
 
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -42,7 +42,7 @@
     """Anything but a whole message raises the one error that the reader of datagrams expects."""
     try:
         codec.read_marks(b"\x02" + data, NOW_MS, seal)
-    except codec.Unreadable:
+    except codec.UnreadableError:
         return
     assert seal is None
 
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("age", (codec.MARK_AGE_MS + 1, -codec.FRESH_MS - 1))
 def test_a_mark_of_another_time_is_unreadable(age):
     data = codec.write_marks(1, [codec.write_mark(5, NOW_MS - age, 3, 2.0)], None)
-    with pytest.raises(codec.Unreadable, match="old"):
+    with pytest.raises(codec.UnreadableError, match="old"):
         codec.read_marks(data, NOW_MS, None)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("ingresses", (4, 40))
 def test_first_calls_are_spread_over_the_tier(ingresses):
     turns = sorted(Backoff(random.Random(n), ingresses).turn() for n in range(ingresses))
-    assert 0 <= turns[0] and turns[-1] <= EACH_TURN_US * ingresses
+    assert turns[0] >= 0 and turns[-1] <= EACH_TURN_US * ingresses
     assert turns[-1] - turns[0] >= EACH_TURN_US * ingresses // 3
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -176,18 +176,18 @@
 
     async def scene():
         model = Counter(per_second=8.0, parts=1, queue_us=60_000_000)
-        async with CounterServer(model, Timeline()).listen() as counter:
-            async with (
-                Peer(lambda a: OK).open() as server,
-                Discovery(entry(server.port, "s-0")).open() as discovery,
-                ingress(discovery, counter, contracts=[PLAN | {"depth": 500.0}]) as (node, port),
-            ):
-                await lose([(node, port)])
-                before = model.added
-                served = await spend(port, 12)
-                customers = node.runtime.reducer.policy.quota.customers.values()
-                passed = sum(who.cur.mine + who.prev.mine for who in customers)
-                assert served >= 1 and known(node) >= served
-                assert before <= model.added <= passed
+        async with (
+            CounterServer(model, Timeline()).listen() as counter,
+            Peer(lambda a: OK).open() as server,
+            Discovery(entry(server.port, "s-0")).open() as discovery,
+            ingress(discovery, counter, contracts=[PLAN | {"depth": 500.0}]) as (node, port),
+        ):
+            await lose([(node, port)])
+            before = model.added
+            served = await spend(port, 12)
+            customers = node.runtime.reducer.policy.quota.customers.values()
+            passed = sum(who.cur.mine + who.prev.mine for who in customers)
+            assert served >= 1 and known(node) >= served
+            assert before <= model.added <= passed
 
     run(scene())
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -203,7 +203,7 @@
         # One in five requests is run and its connection reset; the rest go on as before.
         moods = itertools.cycle(["ok", "ok", "reset", "ok", "ok"])
         server = StandIn("i-1", usual=lambda: next(moods))
-        async with ingress(server) as (front, port):
+        async with ingress(server) as (_front, port):
             for _ in range(60):
                 await ask(port, "POST /once/1", b"x")
                 await asyncio.sleep(0.1)
@@ -286,7 +286,7 @@
             ):
                 for troubled in (server, other):
                     troubled.moods = [mood]
-                status, _, body = await ask(port, "GET /safe/1")
+                status, _, _body = await ask(port, "GET /safe/1")
                 server.moods = other.moods = []
                 self.assertIn(status, (500, 502, 503) if mood != "error" else (500,))
                 server.moods = [mood] * 9
@@ -365,7 +365,7 @@
     @unhurried
     async def test_silence_is_waited_out_and_is_no_promise(self):
         server = StandIn("i-1", moods=["silent"])
-        async with ingress(server) as (front, port):
+        async with ingress(server) as (_front, port):
             begun = asyncio.get_running_loop().time()
             self.assertEqual(504, (await ask(port, "POST /once/1", b"x", left=400))[0])
             self.assertTrue(0.38 < asyncio.get_running_loop().time() - begun < 0.6)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -328,7 +328,7 @@
     for gate in gates:
         for other in gates:
             other.now = gate.now
-        rid, acts = gate.ask(doors=60.0)
+        _, acts = gate.ask(doors=60.0)
         assert not any(isinstance(a, api.Send | api.Refuse) for a in acts)  # it waits for one answer
         before = len(gate.sends)
         service.serve(gate)
@@ -339,7 +339,7 @@
 def test_a_held_request_gets_one_final_answer_whatever_the_counter_does():
     for outcome in (Outcome.OK, Outcome.TIMEOUT, Outcome.FULL, Outcome.CONNECT_FAILED):
         gate = Gate(MANY)
-        rid, _ = gate.ask(doors=100.0)
+        gate.ask(doors=100.0)
         acts = gate.count(gate.calls[0], 1.0, outcome)
         assert len([a for a in acts if isinstance(a, api.Send | api.Refuse)]) == 1
         assert not gate.policy.quota.held
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -372,16 +372,16 @@
             choice.ended(0, name, seen, took)
         self.assertEqual({"b"}, self.count(choice))
 
-    def test_cold_ones_are_for_their_keeper_and_slowly(self):
+    def test_cold_ones_are_for_their_owner_and_slowly(self):
         """
         now      0 ..... 1 s ........................ 5 s        6 s .......... 11 s
         cold     #####################################           evacuated ends, ###
-        cold_owner   (waits)  edge-1: 3 at once, 10 a second         edge-1 again
+        owner    (waits)  edge-1: 3 at once, 10 a second         edge-1 again
         """
         cold = server("c", cold_until=5 * S, cold_owner="edge-1", owned_from=S)
         scene = Scene(cold, server("other", cold_until=5 * S, cold_owner="edge-2"))
         choice = scene.choice
-        self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the cold_owner no more
+        self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the owner no more
         choice.kept_until = 20 * S
         passed = {}
         for now in range(0, 5 * S, 10_000):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,6 @@
 """The five rules, each effect class, and slow start."""
 
+import itertools
 import random
 from dataclasses import replace
 
@@ -398,7 +399,7 @@
             gate.policy.fleet.ready[0].limit = 0.25
         gate.advance(10_000)
     assert len(times) >= 2
-    assert all(b - a >= 400_000 for a, b in zip(times, times[1:], strict=False))
+    assert all(b - a >= 400_000 for a, b in itertools.pairwise(times))
 
 
 def test_unsafe_attempt_is_given_up_once_late_earns_nothing():
@@ -415,7 +416,7 @@
     served = attempts = 0
     for _ in range(requests):
         gate.advance(100_000)
-        rid, acts = gate.ask(plan_id=1)
+        _, acts = gate.ask(plan_id=1)
         while sends := [a for a in acts if isinstance(a, api.Send)]:
             attempts += 1
             good = sends[0].worker in open_at
@@ -547,7 +548,7 @@
 def test_workers_that_are_gone_leave_nothing_behind(whole):
     gate = Gate(workers=2)
     for i in range(2, 40):
-        rid, _ = gate.ask(customer=i)
+        gate.ask(customer=i)
         gate.end(gate.sends[-1])
         came, gone = Gate.entry(i), Gate.entry(i - 2, WorkerState.GONE)
         news = [Gate.entry(i - 1), came] if whole else [came, gone]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -154,7 +154,7 @@
 
     async def scene():
         replies = iter([OK, CLOSE, OK])
-        async with stage(lambda a: next(replies)) as (node, port, (server,)):
+        async with stage(lambda a: next(replies)) as (node, port, (_server,)):
             trust = node.instances.session.connector.trust
             assert (await ask(port))[0] == 200 and trust.limit == trust.most
             assert (await ask(port))[0] == 503 and trust.limit < trust.most
@@ -336,7 +336,7 @@
     monkeypatch.setattr(commands, "FIRST_S", 0.2)
 
     async def scene():
-        async with stage(lambda a: OK) as (node, port, _):
+        async with stage(lambda a: OK) as (_node, port, _):
             usual = await asyncio.open_connection("127.0.0.1", port)
             assert (await ask(port, reader_writer=usual))[0] == 200
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -414,7 +414,7 @@
                 known = listing(entry(server.port), generation=5)
                 async with ingress(
                     discovery, counter, known=known, registry_mode="subscribe", balancers=2
-                ) as (node, port):
+                ) as (_node, port):
                     assert (await ask(port))[0] == 200
                     await until(lambda: discovery.asked)
                     assert "after=5&" in discovery.asked[0].target
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -34,7 +34,7 @@
 from vetchusher.settings.node import node_of, read_node
 
 NODE = """
-node_name = "keeper-1"
+node_name = "control-1"
 serves = ["control", "directory"]
 ip_address = "10.2.0.5"
 zone = "north-1"
@@ -42,7 +42,7 @@
 internal_ports = [7000, 7015]
 seed_nodes = ["10.2.0.5:8000", "10.3.0.6:8000"]
 first_start = true
-data_directory = "/data/keeper"
+data_directory = "/data/control"
 something_new = [1, {a = 2}]
 [zones]
 north-1 = "north"
@@ -354,7 +354,7 @@
         folder = folder_for(self)
         compiling.write_down(str(folder))
         path = folder / compiled.PACKAGE / "node.py"
-        written = path.read_text() + "\ndef validate(*_): raise Misfit([], 'built', 0, 'type')\n"
+        written = path.read_text() + "\ndef validate(*_): raise MisfitError([], 'built', 0, 'type')\n"
         says = []
         for source in (written, written.replace("SCHEMA = '", "SCHEMA = 'old")):
             path.write_text(source)
--- a/vetchusher/__main__.py
+++ b/vetchusher/__main__.py
@@ -8,7 +8,7 @@
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 os.environ.setdefault("SSL_CERT_DIR", os.devnull)
 
-from vetchusher.net.cli import main  # noqa: E402 - after the settings above
+from vetchusher.net.cli import main  # after the settings above
 
 if __name__ == "__main__":
     sys.exit(main(sys.argv[1:]))
--- a/vetchusher/datagrams/__init__.py
+++ b/vetchusher/datagrams/__init__.py
@@ -8,4 +8,4 @@
 from .messages import SendDatagram
 from .pace import Pace
 
-__all__ = ["KIND", "Envelope", "ReceivedMessage", "Pace", "SendDatagram"]
+__all__ = ["KIND", "Envelope", "Pace", "ReceivedMessage", "SendDatagram"]
--- a/vetchusher/datagrams/envelope.py
+++ b/vetchusher/datagrams/envelope.py
@@ -52,7 +52,7 @@
         """
         try:
             end = codec.opened(data, _HEAD.size, self.seal)
-        except codec.Unreadable as err:
+        except codec.UnreadableError as err:
             self.refuse("forged" if "seal" in str(err) else "truncated")
             return None
         kind, topic, claimed, life, cluster = _HEAD.unpack_from(data)
--- a/vetchusher/duties/report.py
+++ b/vetchusher/duties/report.py
@@ -94,8 +94,7 @@
         if token is None:
             self.gathering = None
             return [], None
-        period, into = divmod(wall_us, self.period_s * 1_000_000)
-        period -= 1  # the last whole one
+        period = wall_us // (self.period_s * 1_000_000) - 1  # the last whole one
         gathering = self.gathering
         if gathering is None or gathering.token != token:
             # A period is taken up where its end is not long ago: else the next holder would be late with it.
--- a/vetchusher/emulator/duties/audit.py
+++ b/vetchusher/emulator/duties/audit.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import json
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -53,7 +54,7 @@
     faults = []
     for duty in sorted({h.duty for h in found}):
         own = sorted((h for h in found if h.duty == duty), key=lambda h: h.begins)
-        for before, after in zip(own, own[1:], strict=False):
+        for before, after in itertools.pairwise(own):
             if after.token <= before.token:
                 faults.append(
                     f"{duty}: token {after.token} of {after.who} after {before.token} of {before.who}"
--- a/vetchusher/emulator/duties/explorer.py
+++ b/vetchusher/emulator/duties/explorer.py
@@ -152,7 +152,7 @@
     state = first()
     state.post(CANDIDATES[0], state.candidates[0].tick(0, True, False))
     while state.sent:
-        how, state = next((h, s) for h, s in following(state) if " to " in h)
+        state = next(after for how, after in following(state) if " to " in how)
     assert state.wrong() is None and state.candidates[0].stage is Stage.HOLDING
     return state
 
@@ -168,12 +168,25 @@
 STARTS = {"free": first, "held": held, "contested": contested}
 
 
-def following(state: State) -> Iterator[tuple[str, State]]:
+Step = tuple[str, State]
+
+
+def following(state: State) -> Iterator[Step]:
     """Every state that one step leads to."""
-    budget = state.budget
+    yield from after_messages(state)
+    for place in range(len(state.candidates)):
+        yield from after_candidate(state, place)
+    if state.budget.restarts:
+        yield from after_restarts(state)
+    yield from after_recall(state)
+    if state.budget.steps:
+        yield after_time(state)
+
+
+def after_messages(state: State) -> Iterator[Step]:
+    """Each message is delivered.  One may come twice: delivered while it can still matter, once here."""
     for sender, to, message in state.sent:
         after = state.copy()
-        # A message may come twice; one delivered while it can still matter is delivered once here.
         after.sent = state.sent - {(sender, to, message)}
         if to in VOTERS:
             after.post(to, after.voters[to].heard(state.at, sender, 1, message))
@@ -181,34 +194,49 @@
             candidate = after.candidates[to - CANDIDATES[0]]
             after.post(to, candidate.heard(state.at, sender, message, True))
         yield f"{sender} to {to}: {message.topic.name.lower()}", after
-    for place, candidate in enumerate(state.candidates):
-        if candidate.due_at <= state.at or (candidate.stage is Stage.HOLDING and state.at >= candidate.until):
-            after = state.copy()
-            after.post(CANDIDATES[place], after.candidates[place].tick(state.at, True, False))
-            yield f"tick of {CANDIDATES[place]}", after
-        if candidate.stage is Stage.HOLDING and budget.releases:
-            after = state.copy()
-            after.budget = Budget(budget.steps, budget.restarts, 0)
-            other = CANDIDATES[1 - place]
-            after.post(CANDIDATES[place], after.candidates[place].leave(state.at, Reason.RELEASED, other))
-            yield f"release by {CANDIDATES[place]}", after
-    if budget.restarts:
-        for number in VOTERS:
-            after = state.copy()
-            after.budget = Budget(budget.steps, budget.restarts - 1, budget.releases)
-            after.voters[number] = Voter(0, number, VOTERS, TIMING)
-            after.voters[number].begin(state.at, None)
-            yield f"restart of voter {number}", after
+
+
+def after_candidate(state: State, place: int) -> Iterator[Step]:
+    """A candidate ticks, if that is due, or releases what it holds."""
+    candidate, budget = state.candidates[place], state.budget
+    if candidate.due_at <= state.at or (candidate.stage is Stage.HOLDING and state.at >= candidate.until):
+        after = state.copy()
+        after.post(CANDIDATES[place], after.candidates[place].tick(state.at, True, False))
+        yield f"tick of {CANDIDATES[place]}", after
+    if candidate.stage is Stage.HOLDING and budget.releases:
+        after = state.copy()
+        after.budget = Budget(budget.steps, budget.restarts, 0)
+        other = CANDIDATES[1 - place]
+        after.post(CANDIDATES[place], after.candidates[place].leave(state.at, Reason.RELEASED, other))
+        yield f"release by {CANDIDATES[place]}", after
+
+
+def after_restarts(state: State) -> Iterator[Step]:
+    """Each voter restarts without memory."""
+    budget = state.budget
+    for number in VOTERS:
+        after = state.copy()
+        after.budget = Budget(budget.steps, budget.restarts - 1, budget.releases)
+        after.voters[number] = Voter(0, number, VOTERS, TIMING)
+        after.voters[number].begin(state.at, None)
+        yield f"restart of voter {number}", after
+
+
+def after_recall(state: State) -> Iterator[Step]:
+    """A voter that has restarted recovers its memory from the others."""
     for number, voter in enumerate(state.voters):
         if not voter.remembers:
             after = state.copy()
             if recalled(after, number):
                 yield f"voter {number} remembers", after
-    if budget.steps:
-        after = state.copy()
-        after.at += STEP
-        after.budget = Budget(budget.steps - 1, budget.restarts, budget.releases)
-        yield TIME, after
+
+
+def after_time(state: State) -> Step:
+    """Time goes on by a step."""
+    after, budget = state.copy(), state.budget
+    after.at += STEP
+    after.budget = Budget(budget.steps - 1, budget.restarts, budget.releases)
+    return TIME, after
 
 
 def recalled(state: State, number: int) -> bool:
--- a/vetchusher/emulator/outside/servers.py
+++ b/vetchusher/emulator/outside/servers.py
@@ -16,6 +16,8 @@
 ID = "X-Vetchusher-Attempt-Id"
 INSTANCE = "X-Vetchusher-Target-Instance"
 KEPT_S = 2  # idle connections, as it states
+SILENT_S = 3600  # longer than anybody waits
+CUT_SHORT = frozenset({"cut", "cut chunked"})  # moods that close before the answer is whole
 
 
 @dataclass(slots=True)
@@ -116,44 +118,50 @@
         return await self.end(mood, start.startswith("HEAD "), headers, writer)
 
     async def end(self, mood: str, bare: bool, headers: dict[str, str], writer: asyncio.StreamWriter) -> bool:
+        """Answer as the mood has it; whether the connection goes on."""
+        if mood == "reset":
+            writer.transport.abort()
+            return False
+        if mood == "silent":
+            await asyncio.sleep(SILENT_S)
+            return True
         sealed = f"{SEAL}: 3e1b.{headers[ID]}\r\n"
         whole = self.answer("200 OK", headers, sealed, self.body, bare)
+        writer.write(self.distorted(mood, whole, headers, sealed))
+        if mood in CUT_SHORT:
+            await writer.drain()
+            return False
+        if mood == "again":
+            asyncio.get_running_loop().call_later(0.1, writer.write, whole)
+        return True
+
+    def distorted(self, mood: str, whole: bytes, headers: dict[str, str], sealed: str) -> bytes:
+        """The bytes of an answer as the mood spoils it."""
         match mood:
-            case "reset":
-                writer.transport.abort()
-                return False
-            case "silent":
-                await asyncio.sleep(3600)
             case "junk":
-                writer.write(b"\x00\x01 no answer at all\r\n\r\n")
+                return b"\x00\x01 no answer at all\r\n\r\n"
             case "cut":
-                writer.write(whole[: -len(self.body) // 2])
-                await writer.drain()
-                return False
+                return whole[: -len(self.body) // 2]
             case "unsealed":
-                writer.write(self.answer("200 OK", headers, "", self.body))
+                return self.answer("200 OK", headers, "", self.body)
             case "surplus":
-                writer.write(whole + b"more bytes than asked")
+                return whole + b"more bytes than asked"
             case "error":
-                writer.write(self.answer("500 Internal Server Error", headers, "", b"it failed"))
+                return self.answer("500 Internal Server Error", headers, "", b"it failed")
             case "promise":
-                writer.write(self.answer("503 Service Unavailable", headers))
+                return self.answer("503 Service Unavailable", headers)
             case "nameless":
-                writer.write(self.answer("200 OK", {}, sealed, self.body))
-            case "again":
-                writer.write(whole)
-                loop = asyncio.get_running_loop()
-                loop.call_later(0.1, writer.write, whole)
-            case "chunked" | "cut chunked":
-                head = whole[: whole.index(b"Content-Length")] + b"Transfer-Encoding: chunked\r\n\r\n"
-                writer.write(head + b"%x\r\n%s\r\n" % (len(self.body), self.body))
-                if mood != "chunked":
-                    await writer.drain()
-                    return False
-                writer.write(b"0\r\n\r\n")
-            case _:
-                writer.write(whole)
-        return True
+                return self.answer("200 OK", {}, sealed, self.body)
+            case "chunked":
+                return self.chunked(whole) + b"0\r\n\r\n"
+            case "cut chunked":
+                return self.chunked(whole)
+        return whole
+
+    def chunked(self, whole: bytes) -> bytes:
+        """An answer's body as one chunk, without the last chunk that ends it."""
+        head = whole[: whole.index(b"Content-Length")] + b"Transfer-Encoding: chunked\r\n\r\n"
+        return head + b"%x\r\n%s\r\n" % (len(self.body), self.body)
 
     def answer(
         self, status: str, headers: dict[str, str], more: str = "", body: bytes = b"", bare: bool = False
--- a/vetchusher/emulator/rig.py
+++ b/vetchusher/emulator/rig.py
@@ -29,33 +29,38 @@
 WAIT_S = 4.0  # what a client waits for its answer
 
 
+CLASSES = [
+    {
+        "name": "read-shares",
+        "effect": "idempotent",
+        "key_scope": "all",
+        "aim": 1_200_000,
+        "hard_limit": 4_000_000,
+        "credit": 3.0,
+        "late_share": 0.2,
+    }
+]
+CONTRACTS = [
+    {
+        "name": p.name,
+        "depth": p.burst,
+        "units_per_s": p.rate,
+        "price": p.price,
+        "beyond_earns": p.over_worth,
+        "over_cost": p.over_cost,
+    }
+    for p in FIRST.plans
+]
+
+
 def settings(number: int, ingresses: int, peers: bool) -> dict[str, Any]:
+    """What the platform tells one ingress of the first deployment."""
     return {
         "az": 0,
         "balancers": ingresses,
         "my_number": number,
-        "classes": [
-            {
-                "name": "read-shares",
-                "effect": "idempotent",
-                "key_scope": "all",
-                "aim": 1_200_000,
-                "hard_limit": 4_000_000,
-                "credit": 3.0,
-                "late_share": 0.2,
-            }
-        ],
-        "contracts": [
-            {
-                "name": p.name,
-                "depth": p.burst,
-                "units_per_s": p.rate,
-                "price": p.price,
-                "beyond_earns": p.over_worth,
-                "over_cost": p.over_cost,
-            }
-            for p in FIRST.plans
-        ],
+        "classes": CLASSES,
+        "contracts": CONTRACTS,
         "extra": {"counter": True, "count_limit": 50_000, "units_top": 1, "inbox_per_s": 100.0},
         "failure_domains": ["one"],
         "kinds": ["std"],
@@ -208,12 +213,16 @@
             datagrams.bytes = 0
             outages = [self.outage(timeline, outage) for outage in scene.outages]
             await asyncio.gather(self.play(timeline), *outages)
+        return self.outcomes(model, datagrams)
+
+    def outcomes(self, model: Counter, datagrams: Datagrams) -> RigOutcomes:
+        """What the run showed, once all processes have ended."""
         audit = Audit(self.firms)
         for number, ask in enumerate(self.asks):
             audit.note(ask, request_id(number) in self.servers.reached)
         asked = max(1, len(self.asks))
         return RigOutcomes(
-            audit.findings(scene.length),
+            audit.findings(self.scene.length),
             model.calls / asked,
             datagrams.bytes / asked,
             sum(status == 0 for status in self.statuses.values()),
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Errand:
+class Attempt:
     """One attempt under way."""
 
     send: Send
@@ -126,69 +126,71 @@
     over: bool = False
 
 
-class Errands:
+class AttemptsStandIn:
     """The place of `vetchusher.node.attempts.Attempts` at one ingress."""
 
     def __init__(self, loop: ProcessLoop, servers: Servers) -> None:
         self.loop, self.servers, self.net = loop, servers, servers.net
-        self.attempts: set[Errand] = set()
+        self.attempts: set[Attempt] = set()
 
     def servers_changed(self, services: Collection[str]) -> None:
         """No connections are kept here."""
 
-    def start(self, send: Send, matter: Matter, report: Report) -> Errand:
-        errand = Errand(send, report)
-        self.attempts.add(errand)
-        errand.expiry = self.loop.call_at(send.deadline / 1e6, self.expire, errand)
+    def start(self, send: Send, matter: Matter, report: Report) -> Attempt:
+        attempt = Attempt(send, report)
+        self.attempts.add(attempt)
+        attempt.expiry = self.loop.call_at(send.deadline / 1e6, self.expire, attempt)
         ip = send.server.address.partition(":")[0]
         clock, here = self.net.clock, self.loop.ip
         if not self.net.open(here, ip) or not self.net.open(ip, here):
-            clock.after(send.connect_us, lambda: self.finish(errand, Seen.NO_CONNECTION))
+            clock.after(send.connect_us, lambda: self.finish(attempt, Seen.NO_CONNECTION))
         else:
-            errand.begun = True
-            clock.after(self.net.way(here, ip), lambda: self.arrive(errand, ip, matter.id.decode()))
-        return errand
+            attempt.begun = True
+            clock.after(self.net.way(here, ip), lambda: self.arrive(attempt, ip, matter.id.decode()))
+        return attempt
 
-    def cancel(self, errand: Errand) -> None:
-        self.close_off(errand)
+    def cancel(self, attempt: Attempt) -> None:
+        self.close_off(attempt)
 
-    def close_off(self, errand: Errand) -> bool:
-        if errand.over:
+    def close_off(self, attempt: Attempt) -> bool:
+        if attempt.over:
             return False
-        errand.over = True
-        self.attempts.discard(errand)
-        if errand.expiry is not None:
-            errand.expiry.cancel()
+        attempt.over = True
+        self.attempts.discard(attempt)
+        if attempt.expiry is not None:
+            attempt.expiry.cancel()
         return True
 
-    def expire(self, errand: Errand) -> None:
-        self.finish(errand, Seen.SILENT if errand.begun else Seen.NO_CONNECTION)
+    def expire(self, attempt: Attempt) -> None:
+        self.finish(attempt, Seen.SILENT if attempt.begun else Seen.NO_CONNECTION)
 
-    def finish(self, errand: Errand, seen: Seen, got: Got | None = None, prompt: bool = False) -> None:
+    def finish(self, attempt: Attempt, seen: Seen, got: Got | None = None, prompt: bool = False) -> None:
         def tell() -> None:
-            if self.close_off(errand):
-                errand.report(errand.send.number, seen, prompt, got)
+            if self.close_off(attempt):
+                attempt.report(attempt.send.number, seen, prompt, got)
 
         self.loop.call_soon(tell)
 
-    def back(self, errand: Errand, ip: str, seen: Seen, got: Got | None = None, prompt: bool = False) -> None:
-        """What the server sends takes its way; a cut swallows it."""
+    def back(
+        self, attempt: Attempt, ip: str, seen: Seen, got: Got | None = None, prompt: bool = False
+    ) -> None:
+        """What the server sends arrives after the delay of the path; a cut drops it."""
         way = self.net.way(ip, self.loop.ip)
 
         def come() -> None:
             if self.net.open(ip, self.loop.ip):
-                self.finish(errand, seen, got, prompt)
+                self.finish(attempt, seen, got, prompt)
 
         self.net.clock.after(way, come)
 
-    def arrive(self, errand: Errand, ip: str, id: str) -> None:
+    def arrive(self, attempt: Attempt, ip: str, id: str) -> None:
         servers, judge = self.servers, self.servers.judge
         server = servers.at_address.get(ip)
         if server is None:
-            self.back(errand, ip, Seen.NO_CONNECTION)
+            self.back(attempt, ip, Seen.NO_CONNECTION)
             return
-        if server.instance != errand.send.server.instance:
-            self.back(errand, ip, Seen.MISDIRECTED)
+        if server.instance != attempt.send.server.instance:
+            self.back(attempt, ip, Seen.MISDIRECTED)
             return
         judge.at = servers.now()
         asked, place = judge.asked[id], servers.place(server)
@@ -196,22 +198,22 @@
         rng = self.net.clock.rng
         mood = rng.choice(servers.moods) if rng.random() < servers.bad else ""
         if server.at_work >= server.capacity + QUEUE:
-            self.back(errand, ip, Seen.NOT_EXECUTED)
+            self.back(attempt, ip, Seen.NOT_EXECUTED)
             return
         if mood == "refuse":
-            self.back(errand, ip, Seen.RESET, prompt=True)
+            self.back(attempt, ip, Seen.RESET, prompt=True)
             return
         judge.runs_at(asked, place)
         server.at_work += 1
-        self.net.clock.after(rng.randrange(*servers.work_us), lambda: self.worked(errand, server, mood))
+        self.net.clock.after(rng.randrange(*servers.work_us), lambda: self.worked(attempt, server, mood))
 
-    def worked(self, errand: Errand, server: Server, mood: str) -> None:
+    def worked(self, attempt: Attempt, server: Server, mood: str) -> None:
         server.at_work -= 1
         if mood == "silent":
             return
         if mood in ("reset", "cut"):
-            self.back(errand, server.ip, Seen.RESET if mood == "reset" else Seen.GARBLED)
+            self.back(attempt, server.ip, Seen.RESET if mood == "reset" else Seen.GARBLED)
         elif mood == "error":
-            self.back(errand, server.ip, Seen.SERVER_ERROR, Got(500, "", [], b"", 0))
+            self.back(attempt, server.ip, Seen.SERVER_ERROR, Got(500, "", [], b"", 0))
         else:
-            self.back(errand, server.ip, Seen.ANSWERED, Got(200, "OK", [], b"", 0))
+            self.back(attempt, server.ip, Seen.ANSWERED, Got(200, "OK", [], b"", 0))
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -35,7 +35,7 @@
 
 from .judge import Asked, Calm, Judge, Version
 from .process_loops import Clockwork, Net, ProcessLoop
-from .servers import Errands, Listing, Servers
+from .servers import AttemptsStandIn, Listing, Servers
 
 PORT = 7000
 HOST = "tide.example"
@@ -76,7 +76,7 @@
     """:param disk: what is synced of the control state
     :param floor: what an import brought in
     :param copy: the digests of what is on the disk; none here: mending has searches of its own
-    :param shelf: what is synced of what was told, by source
+    :param snapshots: what is synced of what was told, by source
     """
 
     name: str
@@ -87,7 +87,7 @@
     disk: PersistentState | None = None
     floor: PersistentState | None = None
     copy: Copy | None = None
-    shelf: dict[str, bytes] = field(default_factory=dict)
+    snapshots: dict[str, bytes] = field(default_factory=dict)
     life: int = 0
     ran: bool = False
     loop: ProcessLoop | None = None
@@ -105,17 +105,17 @@
 
 
 class DrawnSnapshotStore:
-    """The place of `waggle.shelf.SnapshotStore`."""
+    """The place of `vetchusher.distribution.snapshot.SnapshotStore`."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
 
     def load(self, sources: dict[str, Source]) -> Result[list[str], Fault]:
-        told = {name: wire.SourceNews.FromString(raw) for name, raw in self.machine.shelf.items()}
+        told = {name: wire.SourceNews.FromString(raw) for name, raw in self.machine.snapshots.items()}
         return Success([name for name, news in told.items() if sources[name].take(news)])
 
     def save(self, news: wire.SourceNews) -> Result[None, Fault]:
-        self.machine.shelf[news.source] = news.SerializeToString()
+        self.machine.snapshots[news.source] = news.SerializeToString()
         return Success(None)
 
 
@@ -270,15 +270,15 @@
 
         part: ControlNode | EdgeNode
         if machine.core:
-            shelf = cast(Any, DrawnSnapshotStore(machine))
+            snapshots = cast(Any, DrawnSnapshotStore(machine))
             part = ControlNode(
-                loop, node, paths, cast(Any, machine), machine.disk, shelf, rng, now, self.note
+                loop, node, paths, cast(Any, machine), machine.disk, snapshots, rng, now, self.note
             )
             part.platform = Listing(self.servers)
         else:
             part = EdgeNode(loop, node, paths, rng, now, self.note)
             part.front.tries.session.detach()
-            part.front.tries = cast(Any, Errands(loop, self.servers))
+            part.front.tries = cast(Any, AttemptsStandIn(loop, self.servers))
         machine.part = part
         loop.create_task(paths.open())
         loop.create_task(part.run())
@@ -299,7 +299,7 @@
     def wipe(self, name: str) -> None:
         self.end(name, True)
         self.machines[name].disk = None
-        self.machines[name].shelf.clear()
+        self.machines[name].snapshots.clear()
 
     def freeze(self, name: str, stops: bool) -> None:
         loop = self.machines[name].loop
@@ -357,7 +357,7 @@
             fronts = [m.name for m in self.ingresses if ZONES[m.zone] == region]
         if not fronts:
             return
-        paths = list(services_of(self.version)) + [f"/new{self.version + 1}/"]
+        paths = [*services_of(self.version), f"/new{self.version + 1}/"]
         tenant = "t2" if self.rng.random() < self.hot else "t1"
         self.ask(self.rng.choice(fronts), self.rng.choice(paths), tenant, region)
 
--- a/vetchusher/kinds.py
+++ b/vetchusher/kinds.py
@@ -27,7 +27,7 @@
     INVALID = "invalid"
     NOT_FOUND = "not_found"
     NOT_SETTLED = "not_settled"  # no primary, or no clear answer from it: it may or may not be in force
-    # settings, files, fellows
+    # settings, files, peers
     BAD_SETTINGS = "bad_settings"
     BAD_STORE = "bad_store"
     BAD_MESSAGE = "bad_message"
--- a/vetchusher/limits/calls.py
+++ b/vetchusher/limits/calls.py
@@ -30,7 +30,7 @@
 def near(who: Customer) -> bool:
     """Whether news of this customer can change a decision."""
     limit = KEEN_PART * who.plan.burst
-    return not who.thin and who.prev.count() >= limit or who.unused < limit
+    return (not who.thin and who.prev.count() >= limit) or who.unused < limit
 
 
 class CallLine:
--- a/vetchusher/limits/codec.py
+++ b/vetchusher/limits/codec.py
@@ -44,7 +44,7 @@
 Seal = Callable[[bytes], bytes]
 
 
-class Unreadable(Exception):
+class UnreadableError(Exception):
     """The datagram is not one of ours; the text is one plain line."""
 
 
@@ -129,26 +129,26 @@
     """Where the content of a datagram ends, its seal checked.
 
     :param least: bytes of content that it must have
-    :raises Unreadable: if it is too long or too short, or the seal is wrong
+    :raises UnreadableError: if it is too long or too short, or the seal is wrong
     """
     if len(data) > MOST_BYTES:
-        raise Unreadable(f"{len(data)} bytes are too many")
+        raise UnreadableError(f"{len(data)} bytes are too many")
     end = len(data) - (SEAL_BYTES if seal is not None else 0)
     if end < least:
-        raise Unreadable(f"{len(data)} bytes are too few")
+        raise UnreadableError(f"{len(data)} bytes are too few")
     if seal is not None and not hmac.compare_digest(seal(data[:end]), data[end:]):
-        raise Unreadable("the seal is wrong")
+        raise UnreadableError("the seal is wrong")
     return end
 
 
 def read(data: bytes, seal: Seal | None) -> Message:
-    """:raises Unreadable: for whatever `write` with this seal has not made"""
+    """:raises UnreadableError: for whatever `write` with this seal has not made"""
     end = opened(data, _HEAD.size, seal)
     version, mixed, sender, life, sent_ms = _HEAD.unpack_from(data)
     if version != VERSION:
-        raise Unreadable(f"version {version} is not known here")
+        raise UnreadableError(f"version {version} is not known here")
     if mixed & 15 > max(State) or mixed >> 4 > ASKS | NEWBORN:
-        raise Unreadable(f"no such state or flags: {mixed:#x}")
+        raise UnreadableError(f"no such state or flags: {mixed:#x}")
     return Message(sender, life, State(mixed & 15), mixed >> 4, sent_ms, tuple(_entries(data, end)))
 
 
@@ -172,21 +172,21 @@
 def read_marks(data: bytes, now_ms: int, seal: Seal | None) -> tuple[int, list[tuple[int, int, int, float]]]:
     """The sender and, for each mark, firm, time (ms), window modulo WINDOWS and units.
 
-    :raises Unreadable: for whatever `write_marks` with this seal has not made lately
+    :raises UnreadableError: for whatever `write_marks` with this seal has not made lately
     """
     end = opened(data, _MARK_HEAD.size, seal)
     if (end - _MARK_HEAD.size) % _MARK.size:
-        raise Unreadable(f"marks of {len(data)} bytes")
+        raise UnreadableError(f"marks of {len(data)} bytes")
     kind, sender = _MARK_HEAD.unpack_from(data)
     if kind != MARK_KIND[0]:
-        raise Unreadable(f"kind {kind} holds no marks")
+        raise UnreadableError(f"kind {kind} holds no marks")
     done = []
     for low, high, window, at, amount in _MARK.iter_unpack(data[_MARK_HEAD.size : end]):
         age = (now_ms - at + (1 << 31)) % (1 << 32) - (1 << 31)
         if age > MARK_AGE_MS or age < -FRESH_MS:
-            raise Unreadable(f"a mark {age} ms old")
+            raise UnreadableError(f"a mark {age} ms old")
         if window >= WINDOWS:
-            raise Unreadable(f"no window has the number {window}")
+            raise UnreadableError(f"no window has the number {window}")
         done.append((low | high << 32, now_ms - age, window, amount / PARTS))
     return sender, done
 
@@ -195,15 +195,15 @@
     at = _HEAD.size
     while at < end:
         if at + _FIRM.size >= end:
-            raise Unreadable(f"an entry at {at} is cut short")
+            raise UnreadableError(f"an entry at {at} is cut short")
         low, high, window = _FIRM.unpack_from(data, at)
         if window & 0x80:
-            raise Unreadable(f"an entry at {at} has an unknown mark")
+            raise UnreadableError(f"an entry at {at} has an unknown mark")
         at += _FIRM.size
         amount = shift = 0
         while True:
             if at >= end or shift > 21:
-                raise Unreadable(f"an amount at {at} does not end")
+                raise UnreadableError(f"an amount at {at} does not end")
             byte = data[at]
             amount |= (byte & 0x7F) << shift
             at, shift = at + 1, shift + 7
--- a/vetchusher/limits/guard.py
+++ b/vetchusher/limits/guard.py
@@ -171,9 +171,9 @@
         window.at = now
         self.health.answered(now, own, others, begun)
         beyond = window.told + window.mine - window.total - window.diff
-        if window.told and beyond > DISAGREE_UNITS + 2.0 * self.settings.most_units:
-            if self.health.state in (State.TRUSTED, State.DOUBTED, State.RETURNED):
-                self.health.split(now)
+        disagree = window.told and beyond > DISAGREE_UNITS + 2.0 * self.settings.most_units
+        if disagree and self.health.state in (State.TRUSTED, State.DOUBTED, State.RETURNED):
+            self.health.split(now)
         if self.health.state is not State.SPLIT:
             who.alone = who.cur.diff + who.prev.diff
 
@@ -184,7 +184,7 @@
             return
         try:
             message = codec.read(data, self.seal)
-        except codec.Unreadable:
+        except codec.UnreadableError:
             self.foreign += 1
             return
         wrong = message.sender != sender or sender == self.settings.index or sender >= self.settings.gateways
@@ -203,7 +203,7 @@
     def receive_marks(self, now: int, sender: int, data: bytes) -> None:
         try:
             claimed, entries = codec.read_marks(data, now // 1_000, self.seal)
-        except codec.Unreadable:
+        except codec.UnreadableError:
             self.foreign += 1
             return
         if not self.on or claimed != sender or sender == self.settings.index:
--- a/vetchusher/limits/health.py
+++ b/vetchusher/limits/health.py
@@ -96,12 +96,9 @@
             self.flow(now, own, others, begun)
         if self.state is State.LOST:
             self.move(now, State.RETURNED)
-        elif self.state is State.DOUBTED and self.bad < BAD_TRUSTED:
-            self.move(now, State.TRUSTED)
-        elif (
-            self.state is State.RETURNED
-            and now - self.since >= self.tuning.return_us
-            and self.bad < BAD_TRUSTED
+        elif self.bad < BAD_TRUSTED and (
+            self.state is State.DOUBTED
+            or (self.state is State.RETURNED and now - self.since >= self.tuning.return_us)
         ):
             self.move(now, State.TRUSTED)
         elif self.state is State.FRESH and now >= self.fresh_until:
--- a/vetchusher/limits/tally.py
+++ b/vetchusher/limits/tally.py
@@ -234,24 +234,35 @@
             return
         for number in [n for n in self.sent if n < totals.number]:
             del self.sent[number]
-        news = totals.life != self.holder
-        if news:
-            self.whole_told = NEVER
-            for known in self.own.values():
-                known.alarmed = NEVER
+        new_holder = totals.life != self.holder
+        if new_holder:
+            self.forget_alarms()
         self.holder, self.heard_number, self.answered_at = totals.life, totals.number, sent.at
         self.ingresses = totals.ingresses or self.ingresses
         if self.clock.heard(totals.life, sent.at, now, totals.now_us):
             for known in self.own.values():
                 known.pair.move((now + self.clock.offset) // known.shape.length_us)
+        self.confirm_counts(sent, totals.life)
+        if totals.whole:
+            self.take_totals(now, sent, totals)
+        elif new_holder:
+            self.back_to_parts(now)
+
+    def forget_alarms(self) -> None:
+        """Alarms are of one holder."""
+        self.whole_told = NEVER
+        for known in self.own.values():
+            known.alarmed = NEVER
+
+    def confirm_counts(self, sent: PendingPush, life: int) -> None:
+        """The holder of that life has taken in the counts of a push."""
         for name, (count, opening) in sent.counts.items():
             own = self.own.get(name)
-            if own is not None and (opening or own.known_to == totals.life):
-                own.acked, own.known_to = max(own.acked, count), totals.life
-        if not totals.whole:
-            if news:
-                self.back_to_parts(now)
-            return
+            if own is not None and (opening or own.known_to == life):
+                own.acked, own.known_to = max(own.acked, count), life
+
+    def take_totals(self, now: int, sent: PendingPush, totals: Totals) -> None:
+        """Take in totals and grants of an answer that holds what all ingresses passed."""
         self.whole_at, self.whole_told = sent.at, totals.now_us
         for total in totals.totals:
             own = self.own.get(total.tenant)
--- a/vetchusher/limits/totals.py
+++ b/vetchusher/limits/totals.py
@@ -253,14 +253,22 @@
                 if self.count(now, pool, source, passed, knows, push.at_us if knows else now):
                     asked.append(passed.tenant)
         source.kept = 0.0
+        self.confirm(source, push.heard)
+        return self.answer(now, push, source, asked)
+
+    def confirm(self, source: Source, number: int) -> None:
+        """The ingress has taken that answer: ceilings of older ones no longer hold."""
         for name in list(source.unsure):
             pool, grant = self.pools.get(name), source.grants.get(name)
             if pool is not None and grant is not None and grant.until > NEVER:
                 pool.out -= grant.left()
-                grant.confirm(push.heard)
+                grant.confirm(number)
                 pool.out += grant.left()
             if grant is None or len(grant.told) < 2:
                 source.unsure.discard(name)
+
+    def answer(self, now: int, push: Push, source: Source, asked: list[str]) -> Totals:
+        """Totals and grants: for the tenants pushed, and for every one that is tight."""
         answer = Totals(number=push.number, life=self.life, whole=self.whole, ingresses=self.ingresses)
         answer.silent, answer.now_us = self.silent, now
         if self.whole and source is self.sources[source.node][-1]:
--- a/vetchusher/membership/member.py
+++ b/vetchusher/membership/member.py
@@ -426,26 +426,38 @@
         elif topic is Topic.ASK:
             self.help(now, sender, message, acts)
         elif topic is Topic.FOR:
-            if message.extra and message.about != NOBODY:
-                self.paths.told[message.about] = now
-            heard_ms = messages.FOREVER
-            other = self.view.entries.get(message.about)
-            if other is not None and other.direct_at >= 0:
-                heard_ms = min(messages.FOREVER - 1, (now - other.direct_at) // 1000)
-            self.send(now, sender, Topic.ACK_FOR, acts, sequence, message.about, heard_ms)
+            self.answer_indirect(now, sender, message, acts)
         elif topic is Topic.ACK_FOR:
-            done = self.indirect_probes.pop(sequence, None)
-            if done is not None and done.target == sender:
-                self.send(now, done.asker, Topic.RELAYED, acts, done.sequence, sender, message.extra)
+            self.relay(now, sender, message, acts)
         elif topic is Topic.RELAYED:
             self.relayed(now, message)
         elif topic is Topic.SYNC:
-            if len(self.syncs) < MOST_SYNCS and all(to != sender for to, _ in self.syncs):
-                self.syncs.append((sender, 0))
+            self.queue_sync(sender)
         elif topic is Topic.VIEW:
             self.parts.add(message.about)
             self.settled = self.settled or len(self.parts) >= message.extra
 
+    def answer_indirect(self, now: int, sender: int, message: Message, acts: Acts) -> None:
+        """A ping made for another member; the answer says when that one was last heard here."""
+        if message.extra and message.about != NOBODY:
+            self.paths.told[message.about] = now
+        heard_ms = messages.FOREVER
+        other = self.view.entries.get(message.about)
+        if other is not None and other.direct_at >= 0:
+            heard_ms = min(messages.FOREVER - 1, (now - other.direct_at) // 1000)
+        self.send(now, sender, Topic.ACK_FOR, acts, message.sequence, message.about, heard_ms)
+
+    def relay(self, now: int, sender: int, message: Message, acts: Acts) -> None:
+        """The target of an indirect probe answered: pass that on to the member that asked."""
+        done = self.indirect_probes.pop(message.sequence, None)
+        if done is not None and done.target == sender:
+            self.send(now, done.asker, Topic.RELAYED, acts, done.sequence, sender, message.extra)
+
+    def queue_sync(self, sender: int) -> None:
+        """The sender asks for the whole view."""
+        if len(self.syncs) < MOST_SYNCS and all(to != sender for to, _ in self.syncs):
+            self.syncs.append((sender, 0))
+
     def acked(self, now: int, sender: int, sequence: int) -> None:
         if self.paths.good(sender):
             self.view.change("path good", sender, self.view.entries[sender].record, self.number, 0, now)
--- a/vetchusher/routing/choice.py
+++ b/vetchusher/routing/choice.py
@@ -226,9 +226,9 @@
             server = standing.server
             if server.cold_owner != self.node or now < server.owned_from:
                 continue
-            if self._usable(now, standing, exclude) and self._is_cold(now, standing):
-                if self._tokens(now, standing) >= 1.0:
-                    return standing
+            usable = self._usable(now, standing, exclude) and self._is_cold(now, standing)
+            if usable and self._tokens(now, standing) >= 1.0:
+                return standing
         return None
 
     def _usable(self, now: int, standing: ServerState, exclude: Collection[str]) -> bool:
--- a/vetchusher/settings/compiled.py
+++ b/vetchusher/settings/compiled.py
@@ -18,7 +18,7 @@
 
 from vetchusher.fields import FieldError, shown
 
-from .schemas import PACKAGE, Misfit, digest, schema_of
+from .schemas import PACKAGE, MisfitError, digest, schema_of
 
 SAID = {"number": "number", "integer": "whole number", "string": "text", "array": "list", "object": "object"}
 
@@ -39,7 +39,7 @@
         """
         try:
             self.validate(tree, {}, place)
-        except Misfit as err:
+        except MisfitError as err:
             text = refusal(err.value, err.name, self.definitions[err.definition], err.rule)
             raise FieldError(" ".join(text.split())) from None
 
--- a/vetchusher/settings/compiling.py
+++ b/vetchusher/settings/compiling.py
@@ -15,7 +15,7 @@
 
 from fastjsonschema import compile_to_code
 
-from .schemas import PACKAGE, Misfit, digest, schema_of
+from .schemas import PACKAGE, MisfitError, digest, schema_of
 
 FORMS = ("node", "configuration")
 # What a refusal may have to say of a rule; of the rest of a definition the code keeps nothing.
@@ -67,10 +67,10 @@
     def visit_ImportFrom(self, node: ast.ImportFrom) -> ast.AST | None:
         if node.module != "fastjsonschema":
             return None if node.module == "decimal" else node
-        return ast.ImportFrom("vetchusher.settings.schemas", [ast.alias(Misfit.__name__)], 0)
+        return ast.ImportFrom("vetchusher.settings.schemas", [ast.alias(MisfitError.__name__)], 0)
 
     def visit_Name(self, node: ast.Name) -> ast.AST:
-        return ast.Name(Misfit.__name__ if node.id.startswith("JsonSchemaValue") else node.id, node.ctx)
+        return ast.Name(MisfitError.__name__ if node.id.startswith("JsonSchemaValue") else node.id, node.ctx)
 
     def visit_Tuple(self, node: ast.Tuple) -> ast.AST:
         kinds = [each for each in node.elts if getattr(each, "id", "") != "Decimal"]
@@ -90,7 +90,7 @@
         kept = repr({key: definition[key] for key in KEPT if key in definition})
         number = ast.Constant(self.found.setdefault(kept, len(self.found)))
         of = [given["value"], self.visit(given["name"]), number, given["rule"]]
-        return ast.Raise(ast.Call(ast.Name(Misfit.__name__, ast.Load()), of, []), None)
+        return ast.Raise(ast.Call(ast.Name(MisfitError.__name__, ast.Load()), of, []), None)
 
 
 def names_in(tree: Any) -> Iterator[str]:
--- a/vetchusher/settings/fleet.py
+++ b/vetchusher/settings/fleet.py
@@ -46,6 +46,24 @@
     :raises SettingsError: with one line that names the file and the place
     """
     tree = read_document(path, SCHEMA)
+    plan = read_plan(path, tree, members, inbox_per_s)
+    report, engine = tree.get("report", {}), str(tree.get("engine", ""))
+    if report.get("sink") and REPORT not in {d.name for d in plan.duties}:
+        raise SettingsError(f"{path}: report.sink: no duty is named {REPORT}, so nobody would deliver to it")
+    return FleetSettings(
+        plan,
+        int(report.get("period_s", PERIOD_S)),
+        str(report.get("sink", "")),
+        read_key(path, tree, "key_file"),
+        bool(tree.get("log_renewals", False)),
+        float(tree.get("clock_rate", 1.0)),
+        engine,
+        read_members(path, tree.get("membership"), plan, inbox_per_s, bool(engine)),
+    )
+
+
+def read_plan(path: str, tree: dict[str, Any], members: int, inbox_per_s: float) -> Plan:
+    """:raises SettingsError: with the place"""
     timing = Timing(
         int(tree.get("lease_ms", 2_000)) * 1000,
         float(tree.get("drift", 0.02)),
@@ -68,19 +86,7 @@
             f"{path}: lease_ms: {len(duties)} duties make {plan.messages_in():.0f} datagrams a second at a "
             f"voter, and {budget.room(inbox_per_s):.0f} are left for them: lengthen the lease"
         )
-    report = tree.get("report", {})
-    if report.get("sink") and REPORT not in {d.name for d in duties}:
-        raise SettingsError(f"{path}: report.sink: no duty is named {REPORT}, so nobody would deliver to it")
-    return FleetSettings(
-        plan,
-        int(report.get("period_s", PERIOD_S)),
-        str(report.get("sink", "")),
-        read_key(path, tree, "key_file"),
-        bool(tree.get("log_renewals", False)),
-        float(tree.get("clock_rate", 1.0)),
-        engine,
-        read_members(path, tree.get("membership"), plan, inbox_per_s, bool(engine)),
-    )
+    return plan
 
 
 def read_members(
--- a/vetchusher/settings/schemas.py
+++ b/vetchusher/settings/schemas.py
@@ -10,7 +10,7 @@
 PACKAGE = "vetchusher_forms"  # of the code that the build writes down
 
 
-class Misfit(ValueError):
+class MisfitError(ValueError):
     """A value that a schema does not allow, as the compiled code raises it.
 
     :param name: its place
--- a/vetchusher/wire.py
+++ b/vetchusher/wire.py
@@ -4,6 +4,7 @@
 
 import json
 import struct
+from collections.abc import Callable
 from typing import Any
 
 from . import interface as api
@@ -117,8 +118,6 @@
 
 
 def _settings(tree: Fields) -> api.Settings:
-    rules, limits, extra = tree.object("invariants"), tree.object("limits"), tree.object("extra")
-    stats = tree.object("stats")
     classes = tuple(_class(c) for c in tree.objects("classes", needed=True))
     if not classes:
         raise tree.fault("classes", "there are none")
@@ -126,6 +125,13 @@
     for what, names in (("classes", [c.name for c in classes]), ("contracts", [p.name for p in plans])):
         if twice := next((n for n in names if n and names.count(n) > 1), None):
             raise tree.fault(what, f"{twice!r} stands there twice")
+    return _assembled(tree, classes, plans)
+
+
+def _assembled(
+    tree: Fields, classes: tuple[api.RequestClass, ...], plans: tuple[api.Plan, ...]
+) -> api.Settings:
+    rules, limits, extra = tree.object("invariants"), tree.object("limits"), tree.object("extra")
     gateways = tree.whole("balancers", least=1, most=1e6)
     return api.Settings(
         index=tree.whole("my_number", 0, most=gateways - 1),
@@ -133,7 +139,7 @@
         zone=tree.whole("az", 0),
         classes=classes,
         plans=plans,
-        load_fields=tuple(_LOADS.get(f, f) for f in stats.texts("fields")),
+        load_fields=tuple(_LOADS.get(f, f) for f in tree.object("stats").texts("fields")),
         subscribe=tree.text("registry_mode", "automatic") == "subscribe",
         counter=extra.flag("counter"),
         counter_timeout=extra.positive("count_limit", 50_000),
@@ -174,53 +180,93 @@
     return out
 
 
+Read = tuple[int, Any]  # instance, and the event
+
+
+def _read_start(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, seed, start, length = _CREATE.unpack_from(body, at)
+    return who, (seed, _slice(tail, start, length))
+
+
+def _read_end(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who = _WHO.unpack_from(body, at)
+    return who, None
+
+
+def _read_fleet(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, kind, version, start, count = _FLEET.unpack_from(body, at)
+    if kind > 3:
+        raise WireError(f"unknown fleet kind {kind}")
+    return who, api.FleetChanged(api.FleetKind(kind), version, _entries(tail, start, count))
+
+
+def _read_arrived(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, rid, cls, plan, caller, left, units, doors, first, opts = _KNOCK.unpack_from(body, at)
+    return who, api.RequestArrived(rid, cls, plan, caller, left, units, doors, first, opts)
+
+
+def _read_began(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, rid, hop, latency, addr, port = _FIRST.unpack_from(body, at)
+    return who, api.AnswerBegan(rid, hop, addr << 16 | port, latency)
+
+
+def _read_ended(body: memoryview, at: int, tail: memoryview) -> Read:
+    record = _CLOSED.unpack_from(body, at)
+    _, who, rid, hop, addr, port, how, latency, done, used, settled, loads = record[:12]
+    if loads > 4:
+        raise WireError(f"load report of {loads} values")
+    worker, report = addr << 16 | port, record[12 : 12 + loads]
+    return who, api.AttemptEnded(rid, hop, worker, _outcome(how), latency, bool(done), settled, used, report)
+
+
+def _read_gone(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, rid = _ABORTED.unpack_from(body, at)
+    return who, api.ClientGone(rid)
+
+
+def _read_timer(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, token = _ABORTED.unpack_from(body, at)
+    return who, api.TimerFired(token)
+
+
+def _read_probe(body: memoryview, at: int, tail: memoryview) -> Read:
+    record = _PONG.unpack_from(body, at)
+    _, who, addr, port, latency, how, loads = record[:7]
+    return who, api.ProbeEnded(addr << 16 | port, _outcome(how), latency, record[7 : 7 + min(loads, 4)])
+
+
+def _read_peer(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, sender, start, length = _HEARD.unpack_from(body, at)
+    return who, api.PeerMessage(sender, _slice(tail, start, length))
+
+
+def _read_counter(body: memoryview, at: int, tail: memoryview) -> Read:
+    _, who, latency, name, how, value = _TOTAL.unpack_from(body, at)
+    return who, api.CounterAnswered(name, _outcome(how), latency, value)
+
+
+_READERS: dict[int, Callable[[memoryview, int, memoryview], Read]] = {
+    CREATE: _read_start,
+    20: _read_fleet,
+    30: _read_arrived,
+    40: _read_began,
+    50: _read_ended,
+    60: _read_gone,
+    70: _read_timer,
+    80: _read_probe,
+    90: _read_peer,
+    HALT: _read_end,
+    110: _read_counter,
+}
+
+
 def read_event(body: memoryview, at: int, tail: memoryview) -> tuple[int, int, Any]:
     """One record: its code, its instance and the event (for a start: seed and settings text)."""
     code = body[at]
-    event: Any
-    if code == 30:
-        _, who, rid, cls, plan, caller, left, units, doors, first, opts = _KNOCK.unpack_from(body, at)
-        event = api.RequestArrived(rid, cls, plan, caller, left, units, doors, first, opts)
-    elif code == 50:
-        rec = _CLOSED.unpack_from(body, at)
-        _, who, rid, hop, addr, port, how, latency, done, used, settled, n = rec[:12]
-        if n > 4:
-            raise WireError(f"load report of {n} values")
-        event = api.AttemptEnded(
-            rid, hop, addr << 16 | port, _outcome(how), latency, bool(done), settled, used, rec[12 : 12 + n]
-        )
-    elif code == 70:
-        _, who, token = _ABORTED.unpack_from(body, at)
-        event = api.TimerFired(token)
-    elif code == 110:
-        _, who, latency, name, how, value = _TOTAL.unpack_from(body, at)
-        event = api.CounterAnswered(name, _outcome(how), latency, value)
-    elif code == 60:
-        _, who, rid = _ABORTED.unpack_from(body, at)
-        event = api.ClientGone(rid)
-    elif code == 20:
-        _, who, kind, version, start, count = _FLEET.unpack_from(body, at)
-        if kind > 3:
-            raise WireError(f"unknown fleet kind {kind}")
-        event = api.FleetChanged(api.FleetKind(kind), version, _entries(tail, start, count))
-    elif code == 40:
-        _, who, rid, hop, latency, addr, port = _FIRST.unpack_from(body, at)
-        event = api.AnswerBegan(rid, hop, addr << 16 | port, latency)
-    elif code == CREATE:
-        _, who, seed, start, length = _CREATE.unpack_from(body, at)
-        event = (seed, _slice(tail, start, length))
-    elif code == HALT:
-        _, who = _WHO.unpack_from(body, at)
-        event = None
-    elif code == 80:
-        rec = _PONG.unpack_from(body, at)
-        _, who, addr, port, latency, how, n = rec[:7]
-        event = api.ProbeEnded(addr << 16 | port, _outcome(how), latency, rec[7 : 7 + min(n, 4)])
-    elif code == 90:
-        _, who, sender, start, length = _HEARD.unpack_from(body, at)
-        event = api.PeerMessage(sender, _slice(tail, start, length))
-    else:
+    reader = _READERS.get(code)
+    if reader is None:
         raise WireError(f"unknown event code {code}")
+    who, event = reader(body, at, tail)
     return code, who, event
 
 
@@ -234,6 +280,30 @@
     return [read_event(view, at, tail) for at in range(0, size, EVENT_SIZE)]
 
 
+def _record(who: int, action: Any) -> bytes:
+    """The record of an action that has nothing in the tail; the most frequent ones come first."""
+    kind = type(action)
+    if kind is api.Send:
+        wait = min(action.timeout, MAX_U32)
+        worker = action.worker
+        return _TRY.pack(10, who, action.request, worker >> 16, worker & 0xFFFF, wait)
+    if kind is api.SetTimer:
+        return _AFTER.pack(50, who, min(action.delay, MAX_DELAY), action.token)
+    if kind is api.Refuse:
+        return _NOT_NOW.pack(20, who, action.request, min(action.retry_after, MAX_U32))
+    if kind is api.Count:
+        return _ADD.pack(130, who, action.name, action.amount, action.lifetime)
+    if kind is api.Fail:
+        return _FAILURE.pack(30, who, action.request)
+    if kind is api.Cancel:
+        return _DROP.pack(40, who, action.request, action.attempt)
+    if kind is api.SubscribeFleet:
+        return _STREAM.pack(110, who, 1 if action.on else 0)
+    if kind is api.FetchFleet:
+        return _FETCH.pack(120, who)
+    raise TypeError(f"unknown action {kind.__name__}")
+
+
 class ReplyWriter:
     """Collects the action records of one reply and their shared tail."""
 
@@ -252,33 +322,16 @@
         self._text(100, who, text)
 
     def add(self, who: int, action: Any) -> None:
+        """Append an action's record, and its text or datagram to the tail."""
         kind = type(action)
-        if kind is api.Send:
-            wait = min(action.timeout, MAX_U32)
-            worker = action.worker
-            self.records.append(_TRY.pack(10, who, action.request, worker >> 16, worker & 0xFFFF, wait))
-        elif kind is api.SetTimer:
-            self.records.append(_AFTER.pack(50, who, min(action.delay, MAX_DELAY), action.token))
-        elif kind is api.Refuse:
-            self.records.append(_NOT_NOW.pack(20, who, action.request, min(action.retry_after, MAX_U32)))
-        elif kind is api.Count:
-            self.records.append(_ADD.pack(130, who, action.name, action.amount, action.lifetime))
-        elif kind is api.Fail:
-            self.records.append(_FAILURE.pack(30, who, action.request))
-        elif kind is api.Cancel:
-            self.records.append(_DROP.pack(40, who, action.request, action.attempt))
-        elif kind is api.Log:
+        if kind is api.Log:
             self._text(90, who, action.text)
-        elif kind is api.SubscribeFleet:
-            self.records.append(_STREAM.pack(110, who, 1 if action.on else 0))
         elif kind is api.Say:
             peer = MAX_U32 if action.peer is None else action.peer
             self.records.append(_SAY.pack(80, who, peer, len(self.tail), len(action.data)))
             self.tail += action.data
-        elif kind is api.FetchFleet:
-            self.records.append(_FETCH.pack(120, who))
         else:
-            raise TypeError(f"unknown action {kind.__name__}")
+            self.records.append(_record(who, action))
 
     def frame(self) -> bytes:
         body = b"".join(self.records)
