--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -289,9 +289,9 @@
 
 def acknowledges_what_it_holds(self: Primary, now: int, asked: messages.Submitted) -> list[messages.Output]:
     order, held = asked.order, self.memory.state
-    if isinstance(order, messages.Replace) and order.version == held.version:
-        if order.body == held.configuration:
-            return [messages.Completed(asked.number, Success(b""))]
+    known = (held.version, held.configuration)
+    if isinstance(order, messages.Replace) and (order.version, order.body) == known:
+        return [messages.Completed(asked.number, Success(b""))]
     return REAL_SUBMIT(self, now, asked)
 
 
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -132,52 +132,61 @@
             world.cuts -= {(ip, act[1:]), (act[1:], ip)}
 
     def order(self, text: str) -> None:
-        """`r5`, `evacuate Z`, `return Z`, `reads r5`; `r5b`: another body under that number.
+        order = StoryOrder(self, text)
+        self.open += order.awaited
+        order.send()
 
-        `... refused`: and it must be; `... at 1`: to that machine, else to the primary; `... once`: not
-        again, and nobody waits for it.
-        """
+
+class StoryOrder:
+    """`r5`, `evacuate Z`, `return Z`, `reads r5`; `r5b`: another body under that number.
+
+    `... refused`: and it must be; `... at 1`: to that machine, else to the primary; `... once`: not again,
+    and nobody waits for it.
+    """
+
+    def __init__(self, story: Story, text: str) -> None:
+        self.story, self.world = story, story.world
         text, once_only, _ = text.partition(" once")
-        self.open += not once_only
-        text, _, to = text.partition(" at ")
-        text, wanted, _ = text.partition(" refused")
-        kind, _, what = text.partition(" ")
-        world = self.world
+        self.awaited = not once_only
+        text, _, self.to = text.partition(" at ")
+        text, refusal, _ = text.partition(" refused")
+        self.to_be_refused = bool(refusal)
+        self.kind, _, self.what = text.partition(" ")
 
-        def done(ok: bool) -> None:
-            if once_only:
-                return
-            if ok:
-                self.open, self.ack_at = self.open - 1, world.at
-            else:
-                world.after(100 * MS, once)
-
-        def read(version: int | None) -> None:
-            if version is not None and version != int(what[1:]):
-                world.judge.say(f"r{version} was read, not {what}")
-            done(version is not None)
-
-        def taken(ok: bool) -> None:
-            if ok and wanted:
-                world.judge.say(f"{kind} was acknowledged")
-            done(ok)
-
-        def refused() -> None:
-            if not wanted:
-                world.judge.say(f"{kind} was refused")
-            done(True)
-
-        def once() -> None:
-            ip = to or next((ip for ip in world.machines if world.holds(ip)), "1")
-            if kind == "reads":
-                world.retrieve(ip, read)
-            elif kind in ("evacuate", "return"):
-                world.evacuate(ip, what, kind == "evacuate", done)
-            else:
-                version = kind.rstrip(VARIANTS)
-                world.replace(ip, int(version[1:]), taken, kind.removeprefix(version), refused)
-
-        once()
+    def send(self) -> None:
+        world = self.world
+        ip = self.to or next((ip for ip in world.machines if world.holds(ip)), "1")
+        if self.kind == "reads":
+            world.retrieve(ip, self.read)
+        elif self.kind in ("evacuate", "return"):
+            world.evacuate(ip, self.what, self.kind == "evacuate", self.done)
+        else:
+            version = self.kind.rstrip(VARIANTS)
+            variant = self.kind.removeprefix(version)
+            world.replace(ip, int(version[1:]), self.taken, variant, self.refused)
+
+    def done(self, ok: bool) -> None:
+        if not self.awaited:
+            return
+        if ok:
+            self.story.open, self.story.ack_at = self.story.open - 1, self.world.at
+        else:
+            self.world.after(100 * MS, self.send)
+
+    def read(self, version: int | None) -> None:
+        if version is not None and version != int(self.what[1:]):
+            self.world.judge.say(f"r{version} was read, not {self.what}")
+        self.done(version is not None)
+
+    def taken(self, ok: bool) -> None:
+        if ok and self.to_be_refused:
+            self.world.judge.say(f"{self.kind} was acknowledged")
+        self.done(ok)
+
+    def refused(self) -> None:
+        if not self.to_be_refused:
+            self.world.judge.say(f"{self.kind} was refused")
+        self.done(True)
 
 
 def warmed(scene: Scene) -> World:
--- a/vetchusher/kinds.py
+++ b/vetchusher/kinds.py
@@ -28,7 +28,7 @@
     NOT_FOUND = "not_found"
     CONFLICT = "conflict"  # another body holds the number that it names
     NOT_SETTLED = "not_settled"  # no primary, or no clear answer from it: it may or may not be in force
-    # settings, files, fellows
+    # settings, files, peers
     BAD_SETTINGS = "bad_settings"
     BAD_STORE = "bad_store"
     BAD_MESSAGE = "bad_message"
--- a/vetchusher/net/links.py
+++ b/vetchusher/net/links.py
@@ -295,7 +295,7 @@
 
     def _release(self, key: Any, protocol: Any, *, should_close: bool = False) -> None:
         protocol.waiting, protocol.idle_since = None, self._loop.time()
-        should_close = should_close or protocol.left < 0 and protocol.last != CHUNKS_END
+        should_close = should_close or (protocol.left < 0 and protocol.last != CHUNKS_END)
         super()._release(key, protocol, should_close=should_close or not self.keeps(protocol.holder))
 
     async def _create_connection(self, req: Any, traces: Any, timeout: Any) -> ResponseHandler:
--- a/vetchusher/node/operator_api.py
+++ b/vetchusher/node/operator_api.py
@@ -304,9 +304,9 @@
             with contextlib.suppress(ConnectionError):
                 # Danger: who asks for long answers and reads none would hold them all.
                 async with asyncio.timeout(READ_S):
-                    if isinstance(reply, Reply) and isinstance(response.body, bytes):
-                        if len(response.body) > PIECE:
-                            return await send_in_pieces(request, link, response, reply.backed.lasts)
+                    long = isinstance(response.body, bytes) and len(response.body) > PIECE
+                    if isinstance(reply, Reply) and long:
+                        return await send_in_pieces(request, link, response, reply.backed.lasts)
                     await response.prepare(request)
                     await response.write_eof()
                     await request.writer.drain()
