--- a/vetchusher/routing/subsets.py
+++ b/vetchusher/routing/subsets.py
@@ -10,12 +10,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from hashlib import blake2b
 from math import ceil
 
 SUBSET_SIZE = 8  # servers that an ingress prefers, on average: it can lose a few and still choose
 SPARE_FACTOR = 2  # times its even part of the servers, at the least
+MAX_CHANGED = 0.25  # of the ingresses: where more change at once, all ranks are computed anew when needed
 
 
 def ingresses_per_server(ingresses: int, servers: int) -> int:
@@ -33,8 +35,22 @@
     return blake2b(f"{ingress}\n{instance}".encode(), digest_size=8, person=b"patch").digest()
 
 
+@dataclass(slots=True)
+class Place:
+    """Where this ingress stands among those that share one server.
+
+    :param zone: the server's
+    :param rank: of this ingress for that server
+    :param before: how many ingresses come before it
+    """
+
+    zone: str
+    rank: bytes
+    before: int = 0
+
+
 class Subsets:
-    """Owner of this ingress's rank at each server; dropped with the server or with a change of the ingresses.
+    """Owner of this ingress's place at each server; dropped with the server, or when many ingresses change.
 
     :param me: node name of this ingress
     """
@@ -42,19 +58,32 @@
     def __init__(self, me: str) -> None:
         self.me = me
         self.zones: Mapping[str, str] = {}  # by node name: its zone; of the ingresses that share
-        self.ranked_before: dict[str, int] = {}  # by instance: how many ingresses come before this one
+        self.places: dict[str, Place] = {}  # by instance
 
     def ingresses(self, zones: Mapping[str, str]) -> bool:
         """Take the ingresses of this region that may be serving, itself included; whether they changed."""
         if zones == self.zones:
             return False
-        self.zones = dict(zones)
-        self.ranked_before = {}
+        old, self.zones = self.zones, dict(zones)
+        changed = [name for name in old.keys() | zones.keys() if old.get(name) != zones.get(name)]
+        if self.me in changed or len(changed) > len(zones) * MAX_CHANGED:
+            self.places = {}
+        else:
+            self._change(old, changed)
         return True
 
+    def _change(self, old: Mapping[str, str], changed: Iterable[str]) -> None:
+        """Danger: to rank all ingresses anew for each server takes half a second of 160 and 2,600."""
+        for instance, place in self.places.items():
+            for name in changed:
+                if name in old:
+                    place.before -= self._is_before(name, old, instance, place)
+                if name in self.zones:
+                    place.before += self._is_before(name, self.zones, instance, place)
+
     def keep(self, instances: Mapping[str, object]) -> None:
         """Forget the servers that are gone."""
-        self.ranked_before = {name: at for name, at in self.ranked_before.items() if name in instances}
+        self.places = {name: place for name, place in self.places.items() if name in instances}
 
     def holds(self, instance: str, zone: str, servers: int) -> bool:
         """Whether this ingress prefers that server, one of so many of its service and region.
@@ -64,12 +93,18 @@
         number = ingresses_per_server(len(self.zones), servers)
         if self.me not in self.zones or number >= len(self.zones):
             return True
-        at = self.ranked_before.get(instance)
-        if at is None:
-            at = self.ranked_before[instance] = self._before(instance, zone)
-        return at < number
+        place = self.places.get(instance)
+        if place is None:
+            place = self.places[instance] = self._place(instance, zone)
+        return place.before < number
 
-    def _before(self, instance: str, zone: str) -> int:
-        mine = (self.zones[self.me] == zone, rank(self.me, instance))
+    def _place(self, instance: str, zone: str) -> Place:
+        place = Place(zone, rank(self.me, instance))
         others = (name for name in self.zones if name != self.me)
-        return sum(1 for name in others if (self.zones[name] == zone, rank(name, instance)) > mine)
+        place.before = sum(self._is_before(name, self.zones, instance, place) for name in others)
+        return place
+
+    def _is_before(self, name: str, zones: Mapping[str, str], instance: str, place: Place) -> bool:
+        """Those of the server's own zone come first, then those of higher rank."""
+        mine = (self.zones[self.me] == place.zone, place.rank)
+        return (zones[name] == place.zone, rank(name, instance)) > mine
