--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -445,6 +445,9 @@
                 self.assertTrue(waited_s(transport) < 10.0)
                 caller.shutdown(socket.SHUT_WR)
                 self.assertTrue(hung_up(transport))
+        closing = mock.Mock(**{"is_closing.return_value": True})  # its descriptor may be another's by now
+        self.assertEqual((0.0, True), (waited_s(closing), hung_up(closing)))
+        self.assertEqual([], closing.get_extra_info.call_args_list)
 
 
 class Processes(TestCase):
--- a/vetchusher/node/callers.py
+++ b/vetchusher/node/callers.py
@@ -18,7 +18,9 @@
 
 
 def waited_s(transport: asyncio.BaseTransport) -> float:
-    """Seconds since the last byte came on the connection, read or not."""
+    """Seconds since the last byte came on the connection, read or not; none where it is closing here."""
+    if transport.is_closing():
+        return 0.0
     end = LAST_DATA_AT + LAST_DATA.size
     raw = transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, end)
     return float(LAST_DATA.unpack_from(raw, LAST_DATA_AT)[0]) / 1e3
