--- a/vetchusher/membership/member.py
+++ b/vetchusher/membership/member.py
@@ -8,20 +8,18 @@
 from __future__ import annotations
 
 import random
-from collections import deque
-from dataclasses import dataclass
 from enum import Enum
 
-from vetchusher.datagrams import Envelope, ReceivedMessage, SendDatagram
+from vetchusher.datagrams import Envelope, ReceivedMessage
 
 from . import messages
 from .duplicates import REPORT_PERIODS, DuplicateNumbers
-from .messages import NOBODY, RECORDS_SEALED, Message, Topic
+from .messages import NOBODY, Message, Topic
+from .outbox import Acts, Figures, Outbox
 from .probe import MAX_INDIRECT_PROBES, BadDirection, IndirectProbe, Paths, Probe, Step, bad_direction
 from .records import ACCUSATIONS, BEAT_US, HERE, LIVING, MOST_BEAT, MOST_LIFE, Record, State
 from .rules import (
     AGAIN_MOST,
-    GOSSIP_FANOUT,
     HEALTH_MOST,
     HELPERS,
     JOIN_PERIODS,
@@ -30,21 +28,15 @@
     PROBE_AGAIN,
     PROBE_HELP,
     PROBE_LAST,
-    REFRESHED,
     SUSPECT_PROBERS,
-    SYNC_PARTS,
     Rules,
 )
 from .view import Change, View
 
 SILENT_PERIODS = 3  # without an answer: nobody hears this member, or it hears nobody
 PATH_PERIODS = 20  # for which the other end's report of a bad path holds
-LEAVE_FANOUT = 8  # members that are sent the record LEFT at the end
-MOST_SYNCS = 4  # members that wait for a whole view here; others ask elsewhere
 ANSWERS = frozenset((Topic.ACK, Topic.RELAYED, Topic.NACK, Topic.VIEW))
 
-Acts = list[SendDatagram]
-
 
 class Side(Enum):
     """Which side of a partition a member is on, as far as it sees."""
@@ -54,15 +46,6 @@
     UNKNOWN = "unknown"
 
 
-@dataclass(slots=True)
-class Figures:
-    sent: int = 0
-    heard: int = 0
-    bytes: int = 0
-    late_ticks: int = 0
-    accused: int = 0  # records received that say this member is suspected or dead
-
-
 class Membership:
     """One process's part.  Times are us on the clock handed in, which goes on while it is stopped."""
 
@@ -81,8 +64,6 @@
         self.indirect_probes: dict[int, IndirectProbe] = {}
         self.again: dict[int, tuple[int, int, int]] = {}  # by sequence: member, time and beat of the ping
         self.sequence = 0
-        self.cursor = 0
-        self.own_updates = 0  # times that the own record is still to be sent
         self.heard_at = self.answered_at = -1
         self.resumed_at = -1  # when a stall ended; -1 once others have answered since
         self.answered_since: set[int] = set()
@@ -90,11 +71,10 @@
         self.parts: set[int] = set()
         self.asked_view_at = -1
         self.ask_again_at = 0
-        self.syncs: deque[tuple[int, int]] = deque()  # member, next part
-        self.tokens, self.paid_at = rules.out_per_s, 0  # datagrams that may be sent unasked
         self.leaving = False
         self.superseded = 0  # life of the newer process of this number
         self.duplicates = DuplicateNumbers(rules)
+        self.outbox = Outbox(rules, self.view, self.duplicates, envelope, rng, self.figures, self.own)
 
     # -- what holds -------------------------------------------------------------------
 
@@ -102,7 +82,7 @@
         self.began = self.ticked_at = self.period_at = now
         self.probe_at = now + self.rng.randrange(self.rules.period)
         self.lost_at = now + self.rules.period
-        self.own_updates = self.rules.sends
+        self.outbox.own_updates = self.rules.sends
 
     def beat(self, now: int) -> int:
         return min(MOST_BEAT, (now - self.began) // BEAT_US + self.jump)
@@ -140,13 +120,6 @@
         """What is wrong with the way to another member; empty: nothing known."""
         return self.paths.bad(now, number, PATH_PERIODS * self.rules.period)
 
-    def pay(self, now: int) -> bool:
-        """Whether there is a datagram to spare for what is no answer and can wait."""
-        gained = max(0, now - self.paid_at) * self.rules.out_per_s / 1e6
-        self.tokens = min(self.rules.out_per_s, self.tokens + gained)
-        self.paid_at = now
-        return self.tokens >= 1.0
-
     def trouble(self, now: int) -> str:
         """What is wrong with this member's messages, for the readiness figures; it goes on serving."""
         if not self.settled or self.rules.members < 2:
@@ -170,8 +143,8 @@
         if now >= self.lost_at:
             self.lost_at = now + LOST_EVERY * self.rules.period
             self.probe_lost(now, acts)
-        self.gossip(now, acts)
-        self.send_views(now, acts)
+        self.outbox.gossip(now, acts)
+        self.outbox.send_views(now, acts)
         if not self.doubts(now) and (self.answered(now) or self.alone(self.number)):
             self.view.expire(now)
         elif not self.alone(self.number):
@@ -227,7 +200,7 @@
     def ask_view(self, now: int, member: int, acts: Acts) -> None:
         self.asked_view_at = now
         self.parts.clear()
-        self.send(now, member, Topic.SYNC, acts)
+        self.outbox.send(now, member, Topic.SYNC, acts)
 
     # -- probing ----------------------------------------------------------------------
 
@@ -259,7 +232,7 @@
         )
         steps = [(now + int(part * period * stretch), step) for part, step in parts]
         self.probe = Probe(target, number, now, claim, steps)
-        self.send(now, target, Topic.PING, acts, sequence=number)
+        self.outbox.send(now, target, Topic.PING, acts, sequence=number)
 
     def advance_probe(self, now: int, acts: Acts) -> None:
         probe = self.probe
@@ -274,7 +247,7 @@
         if probe.reached:
             return
         if step is not Step.HELP:
-            self.send(now, probe.target, Topic.PING, acts, sequence=probe.sequence)
+            self.outbox.send(now, probe.target, Topic.PING, acts, sequence=probe.sequence)
         if step is not Step.PING:
             self.ask_others(now, probe, acts)
 
@@ -284,7 +257,7 @@
         bad = bool(self.path(now, probe.target))
         for helper in self.rng.sample(others, min(HELPERS, len(others))):
             probe.helpers.add(helper)
-            self.send(now, helper, Topic.ASK, acts, probe.sequence, probe.target, int(bad))
+            self.outbox.send(now, helper, Topic.ASK, acts, probe.sequence, probe.target, int(bad))
 
     def failed(self, now: int, probe: Probe) -> None:
         entry = self.view.entries[probe.target]
@@ -308,7 +281,7 @@
                 self.view.accuse(now, member, claim)
             elif entry.state in HERE:
                 self.path_failed(now, member)
-        if not self.pay(now):
+        if not self.outbox.pay(now):
             return
         some = list(self.paths.watched)[: AGAIN_MOST // 2]
         for member in some:  # to the end of the line, so that each is tried
@@ -318,7 +291,7 @@
         for member in some:
             number, entry = self.next_number(), self.view.entries[member]
             self.again[number] = (member, now, self.view.reckoned(entry, now))
-            self.send(now, member, Topic.PING, acts, sequence=number)
+            self.outbox.send(now, member, Topic.PING, acts, sequence=number)
 
     def path_failed(self, now: int, member: int, way: BadDirection | None = None) -> None:
         if self.paths.add_failure(now, member, way):
@@ -331,7 +304,7 @@
         """
         lost = [n for n, e in self.view.entries.items() if e.state in (State.DEAD, State.UNKNOWN)]
         if lost and self.rng.random() < LOST_PROBERS * len(lost) / (1 + len(self.view.here())):
-            self.send(now, self.rng.choice(lost), Topic.PING, acts, sequence=self.next_number())
+            self.outbox.send(now, self.rng.choice(lost), Topic.PING, acts, sequence=self.next_number())
 
     # -- receiving ----------------------------------------------------------------------
 
@@ -376,11 +349,11 @@
             self.later_life(now, told)
         elif told.life == self.life and told.state is State.LEFT and not self.leaving:
             self.life += 1  # LEFT cannot be refuted within one life
-            self.own_updates = self.rules.sends
+            self.outbox.own_updates = self.rules.sends
         elif told.life == self.life and told.state in ACCUSATIONS:
             self.figures.accused += 1
             self.jump += max(0, told.beat + 1 - self.beat(now))
-            self.own_updates = self.rules.sends
+            self.outbox.own_updates = self.rules.sends
             if self.resumed_at < 0 and self.figures.accused % 4 == 1:
                 self.health = min(HEALTH_MOST, self.health + 1)
 
@@ -390,7 +363,7 @@
         ended = told.state in (State.DEAD, State.LEFT)
         if told.life < MOST_LIFE and (newborn or (ended and not self.leaving)):
             self.life, self.superseded = told.life + 1, 0
-            self.own_updates = self.rules.sends
+            self.outbox.own_updates = self.rules.sends
         else:
             if not self.superseded:
                 self.view.change("superseded", self.number, told, self.number, 0, now)
@@ -420,7 +393,7 @@
     def answer(self, now: int, sender: int, message: Message, acts: Acts) -> None:
         topic, sequence = message.topic, message.sequence
         if topic is Topic.PING:
-            self.send(now, sender, Topic.ACK, acts, sequence)
+            self.outbox.send(now, sender, Topic.ACK, acts, sequence)
         elif topic is Topic.ACK:
             self.acked(now, sender, sequence)
         elif topic is Topic.ASK:
@@ -432,7 +405,7 @@
         elif topic is Topic.RELAYED:
             self.relayed(now, message)
         elif topic is Topic.SYNC:
-            self.queue_sync(sender)
+            self.outbox.queue_sync(sender)
         elif topic is Topic.VIEW:
             self.parts.add(message.about)
             self.settled = self.settled or len(self.parts) >= message.extra
@@ -445,18 +418,13 @@
         other = self.view.entries.get(message.about)
         if other is not None and other.direct_at >= 0:
             heard_ms = min(messages.FOREVER - 1, (now - other.direct_at) // 1000)
-        self.send(now, sender, Topic.ACK_FOR, acts, message.sequence, message.about, heard_ms)
+        self.outbox.send(now, sender, Topic.ACK_FOR, acts, message.sequence, message.about, heard_ms)
 
     def relay(self, now: int, sender: int, message: Message, acts: Acts) -> None:
         """The target of an indirect probe answered: pass that on to the member that asked."""
         done = self.indirect_probes.pop(message.sequence, None)
         if done is not None and done.target == sender:
-            self.send(now, done.asker, Topic.RELAYED, acts, done.sequence, sender, message.extra)
-
-    def queue_sync(self, sender: int) -> None:
-        """The sender asks for the whole view."""
-        if len(self.syncs) < MOST_SYNCS and all(to != sender for to, _ in self.syncs):
-            self.syncs.append((sender, 0))
+            self.outbox.send(now, done.asker, Topic.RELAYED, acts, done.sequence, sender, message.extra)
 
     def acked(self, now: int, sender: int, sequence: int) -> None:
         if self.paths.good(sender):
@@ -483,98 +451,28 @@
         """Probe a member for another one, which gets a nack at once: it knows then that it is received."""
         if message.about in (NOBODY, self.number, sender):
             return
-        self.send(now, sender, Topic.NACK, acts, message.sequence, message.about)
+        self.outbox.send(now, sender, Topic.NACK, acts, message.sequence, message.about)
         if len(self.indirect_probes) < MAX_INDIRECT_PROBES:
             number = self.next_number()
             self.indirect_probes[number] = IndirectProbe(sender, message.sequence, message.about, now)
-            self.send(now, message.about, Topic.FOR, acts, number, sender, message.extra)
-
-    # -- sending ----------------------------------------------------------------------
-
-    def send(
-        self,
-        now: int,
-        to: int,
-        topic: Topic,
-        acts: Acts,
-        sequence: int = 0,
-        about: int = NOBODY,
-        extra: int = 0,
-        records: list[tuple[int, Record]] | None = None,
-    ) -> None:
-        if topic in (Topic.PING, Topic.NEWS) and (duplicate := self.duplicates.newest(now)) is not None:
-            about, extra = duplicate
-        carried = records if records is not None else self.carried(now, to, topic)
-        flags = messages.LEAVING if self.leaving else 0
-        told = Message(topic, self.life, self.beat(now), flags, sequence, about, extra, tuple(carried))
-        data = self.envelope.write(topic, messages.write(told))
-        self.figures.sent += 1
-        self.tokens -= 1.0
-        self.figures.bytes += len(data)
-        acts.append(SendDatagram(to, data))
-
-    def carried(self, now: int, to: int, topic: Topic) -> list[tuple[int, Record]]:
-        """Records to piggyback: accusations of the receiver, updates, and a few other members in turn."""
-        told = []
-        entry = self.view.entries[to]
-        if entry.record.state in ACCUSATIONS or to in self.duplicates.seen:
-            told.append((to, self.view.record_to_send(now, to)))
-        told += self.view.next_updates(now, RECORDS_SEALED - len(told))
-        if topic in (Topic.PING, Topic.ACK):
-            numbers = list(self.view.entries)
-            for _ in range(min(REFRESHED, RECORDS_SEALED - len(told), len(numbers))):
-                self.cursor = (self.cursor + 1) % len(numbers)
-                number = numbers[self.cursor]
-                if number != to and self.view.may_send(now, number):
-                    told.append((number, self.view.record_to_send(now, number)))
-        return told
-
-    def gossip(self, now: int, acts: Acts) -> None:
-        """Send updates to a few random members.
-
-        Danger: updates that wait for the next ping spread too late for the accused to refute.
-        """
-        if (not self.view.updates and self.own_updates <= 0) or not self.pay(now):
-            return
-        here = [n for n in self.view.here() if self.view.state_of(n) in LIVING]
-        self.own_updates -= 1
-        for member in self.rng.sample(here, min(GOSSIP_FANOUT, len(here))):
-            self.send(now, member, Topic.NEWS, acts)
-
-    def send_views(self, now: int, acts: Acts) -> None:
-        """Send parts of the whole view to a member that asked: a few a tick, so that no inbox overflows."""
-        if not self.syncs or not self.pay(now):
-            return
-        to, part = self.syncs[0]
-        known = [n for n in self.view.entries if n != to and self.view.may_send(now, n)]
-        parts = max(1, -(-len(known) // RECORDS_SEALED))
-        for number in range(part, min(parts, part + SYNC_PARTS)):
-            some = known[number * RECORDS_SEALED : (number + 1) * RECORDS_SEALED]
-            told = [(n, self.view.record_to_send(now, n)) for n in some]
-            self.send(now, to, Topic.VIEW, acts, about=number, extra=parts, records=told)
-        if part + SYNC_PARTS >= parts:
-            self.syncs.popleft()
-        else:
-            self.syncs[0] = (to, part + SYNC_PARTS)
+            self.outbox.send(now, message.about, Topic.FOR, acts, number, sender, message.extra)
+
+    # -- ending -----------------------------------------------------------------------
 
     def stop(self, now: int) -> Acts:
         """SIGTERM: announce LEAVING, so that the coming silence is not taken for a death."""
         self.leaving = True
-        self.own_updates = self.rules.sends
+        self.outbox.own_updates = self.rules.sends
         acts: Acts = []
         if not self.superseded:
-            self.gossip(now, acts)
+            self.outbox.gossip(now, acts)
         return acts
 
     def left(self, now: int) -> Acts:
         """The process ends now: announce LEFT, unless a newer process has this number."""
         acts: Acts = []
-        if self.superseded:
-            return acts
-        here = self.view.here()
-        gone = Record(self.life, self.beat(now), State.LEFT)
-        for member in self.rng.sample(here, min(LEAVE_FANOUT, len(here))):
-            self.send(now, member, Topic.NEWS, acts, records=[(self.number, gone)])
+        if not self.superseded:
+            self.outbox.announce_left(now, self.number, acts)
         return acts
 
     def changes(self) -> list[Change]:
