--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -8,9 +8,9 @@
 
 All machines have started when the first row begins, and the first is the primary.  `ack` is when the order
 above was acknowledged (or the reading answered).  A machine's cell: see `ACTS`, or `x2`, `=2` (its link to
-2 is cut, joined), or what is to be seen there: `leads`, `idle`, `copy`, `none`.  The operator sends each
-order again until it is acknowledged; a story that has not ended by itself `PATIENCE` after a row that waits
-has failed.
+2 is cut, joined), or what is to be seen there: `leads`, `idle`, `followed` (another leads), `copy`, `none`.
+The operator sends each order again until it is acknowledged; a story that has not ended by itself `PATIENCE`
+after a row that waits has failed.
 """
 
 from __future__ import annotations
@@ -25,6 +25,7 @@
 
 WARM_UP = 2 * SECOND
 PATIENCE = 20 * SECOND
+VARIANTS = "abcdefgh"  # of bodies under one version
 LAST = 2 * SECOND  # that a story goes on after its last row
 
 ACTS: dict[str, Callable[[World, str], None]] = {
@@ -32,6 +33,8 @@
     "off": lambda world, ip: world.kill(ip),  # the power goes, or the process ends
     "ends": lambda world, ip: world.end(ip),  # in order
     "disk lost": lambda world, ip: world.wipe(ip),  # and off
+    "gone": lambda world, ip: world.lose_for_good(ip),  # with its disk; another takes its place
+    "leaves": lambda world, ip: world.retire_for_good(ip),  # in order, and for good
     "stops": lambda world, ip: world.freeze(ip),
     "goes on": lambda world, ip: world.thaw(ip),
     "cut": lambda world, ip: world.cut(ip),
@@ -116,6 +119,9 @@
         elif act in ("leads", "idle"):
             if world.holds(ip) != (act == "leads"):
                 world.judge.say(f"machine {ip} is not as told: {act}")
+        elif act == "followed":
+            if not any(world.holds(other) for other in world.machines.keys() - {ip}):
+                world.judge.say(f"machine {ip} is not as told: {act}")
         elif act in ("copy", "none"):
             disk = world.machines[ip].disk
             if (disk is not None and disk.copy) != (act == "copy"):
@@ -126,37 +132,61 @@
             world.cuts -= {(ip, act[1:]), (act[1:], ip)}
 
     def order(self, text: str) -> None:
-        """`r5`, `evacuate Z`, `return Z`, `reads r5`; `... at 1`: to that machine, else to the primary;
-        `... once`: not again, and nobody waits for it."""
+        order = StoryOrder(self, text)
+        self.open += order.awaited
+        order.send()
+
+
+class StoryOrder:
+    """`r5`, `evacuate Z`, `return Z`, `reads r5`; `r5b`: another body under that number.
+
+    `... refused`: and it must be; `... at 1`: to that machine, else to the primary; `... once`: not again,
+    and nobody waits for it.
+    """
+
+    def __init__(self, story: Story, text: str) -> None:
+        self.story, self.world = story, story.world
         text, once_only, _ = text.partition(" once")
-        self.open += not once_only
-        text, _, to = text.partition(" at ")
-        kind, _, what = text.partition(" ")
-        world = self.world
+        self.awaited = not once_only
+        text, _, self.to = text.partition(" at ")
+        text, refusal, _ = text.partition(" refused")
+        self.to_be_refused = bool(refusal)
+        self.kind, _, self.what = text.partition(" ")
 
-        def done(ok: bool) -> None:
-            if once_only:
-                return
-            if ok:
-                self.open, self.ack_at = self.open - 1, world.at
-            else:
-                world.after(100 * MS, once)
-
-        def read(version: int | None) -> None:
-            if version is not None and version != int(what[1:]):
-                world.judge.say(f"r{version} was read, not {what}")
-            done(version is not None)
-
-        def once() -> None:
-            ip = to or next((ip for ip in world.machines if world.holds(ip)), "1")
-            if kind == "reads":
-                world.retrieve(ip, read)
-            elif kind in ("evacuate", "return"):
-                world.evacuate(ip, what, kind == "evacuate", done)
-            else:
-                world.replace(ip, int(kind[1:]), done)
-
-        once()
+    def send(self) -> None:
+        world = self.world
+        ip = self.to or next((ip for ip in world.machines if world.holds(ip)), "1")
+        if self.kind == "reads":
+            world.retrieve(ip, self.read)
+        elif self.kind in ("evacuate", "return"):
+            world.evacuate(ip, self.what, self.kind == "evacuate", self.done)
+        else:
+            version = self.kind.rstrip(VARIANTS)
+            variant = self.kind.removeprefix(version)
+            world.replace(ip, int(version[1:]), self.taken, variant, self.refused)
+
+    def done(self, ok: bool) -> None:
+        if not self.awaited:
+            return
+        if ok:
+            self.story.open, self.story.ack_at = self.story.open - 1, self.world.at
+        else:
+            self.world.after(100 * MS, self.send)
+
+    def read(self, version: int | None) -> None:
+        if version is not None and version != int(self.what[1:]):
+            self.world.judge.say(f"r{version} was read, not {self.what}")
+        self.done(version is not None)
+
+    def taken(self, ok: bool) -> None:
+        if ok and self.to_be_refused:
+            self.world.judge.say(f"{self.kind} was acknowledged")
+        self.done(ok)
+
+    def refused(self) -> None:
+        if not self.to_be_refused:
+            self.world.judge.say(f"{self.kind} was refused")
+        self.done(True)
 
 
 def warmed(scene: Scene) -> World:
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -146,7 +146,7 @@
             clock.after(send.connect_us, lambda: self.finish(attempt, Seen.NO_CONNECTION))
         else:
             attempt.begun = True
-            clock.after(self.net.way(here, ip), lambda: self.arrive(attempt, ip, matter.id.decode()))
+            clock.after(self.net.way(here, ip), lambda: self.arrive(attempt, ip, matter))
         return attempt
 
     def cancel(self, attempt: Attempt) -> None:
@@ -183,7 +183,7 @@
 
         self.net.clock.after(way, come)
 
-    def arrive(self, attempt: Attempt, ip: str, id: str) -> None:
+    def arrive(self, attempt: Attempt, ip: str, matter: Matter) -> None:
         servers, judge = self.servers, self.servers.judge
         server = servers.at_address.get(ip)
         if server is None:
@@ -193,6 +193,8 @@
             self.back(attempt, ip, Seen.MISDIRECTED)
             return
         judge.at = servers.now()
+        id = matter.id.decode()
+        judge.reaches(judge.asked.get(id), id, matter.target, dict(attempt.send.headers))
         asked, place = judge.asked[id], servers.place(server)
         judge.arrives(asked, place)
         rng = self.net.clock.rng
@@ -205,15 +207,22 @@
             return
         judge.runs_at(asked, place)
         server.at_work += 1
-        self.net.clock.after(rng.randrange(*servers.work_us), lambda: self.worked(attempt, server, mood))
+        self.net.clock.after(rng.randrange(*servers.work_us), lambda: self.worked(attempt, server, mood, id))
 
-    def worked(self, attempt: Attempt, server: Server, mood: str) -> None:
+    def worked(self, attempt: Attempt, server: Server, mood: str, id: str) -> None:
         server.at_work -= 1
         if mood == "silent":
             return
         if mood in ("reset", "cut"):
             self.back(attempt, server.ip, Seen.RESET if mood == "reset" else Seen.GARBLED)
         elif mood == "error":
-            self.back(attempt, server.ip, Seen.SERVER_ERROR, Got(500, "", [], b"", 0))
+            self.back(attempt, server.ip, Seen.SERVER_ERROR, self.answer(id, 500))
         else:
-            self.back(attempt, server.ip, Seen.ANSWERED, Got(200, "OK", [], b"", 0))
+            self.back(attempt, server.ip, Seen.ANSWERED, self.answer(id, 200))
+
+    def answer(self, id: str, status: int) -> Got:
+        """Each has a body of its own, by which the judge knows it again."""
+        answers = self.servers.judge.answers
+        body = f"answer {len(answers) + 1}".encode()
+        answers[body] = id, status
+        return Got(status, "", [], body, len(body))
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import random
 from collections import Counter
@@ -20,12 +21,12 @@
 from vetchusher.control import PersistentState
 from vetchusher.control.store import Copy, Scanned
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import Source
+from vetchusher.distribution.source import NEVER, Source
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
 from vetchusher.node import operator_api
-from vetchusher.node.attempts import Matter
+from vetchusher.node.attempts import Got, Matter
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import Paths
@@ -105,7 +106,7 @@
 
 
 class DrawnSnapshotStore:
-    """The place of `vetchusher.distribution.snapshot.SnapshotStore`."""
+    """The place of `distribution.snapshot.SnapshotStore`."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -115,7 +116,13 @@
         return Success([name for name, news in told.items() if sources[name].take(news)])
 
     def save(self, news: wire.SourceNews) -> Result[None, Fault]:
-        self.machine.snapshots[news.source] = news.SerializeToString()
+        kept = Source(news.source)
+        if not news.whole:
+            kept.take(wire.SourceNews.FromString(self.machine.snapshots[news.source]))
+        if not kept.take(news):
+            return Failure(Fault(Kind.BAD_STORE, f"news of {news.source} leave something out"))
+        raw = kept.since(NEVER)
+        self.machine.snapshots[news.source] = raw.SerializeToString() if raw is not None else b""
         return Success(None)
 
 
@@ -158,6 +165,11 @@
     return json.dumps(whole).encode()
 
 
+def version_of(answer: operator_api.Answer) -> int:
+    assert isinstance(answer, operator_api.Retrieved)
+    return int(json.loads(answer.body)["version"][1:])
+
+
 class World:
     """Owner of the machines, and of requests and orders under way."""
 
@@ -414,16 +426,19 @@
             ("Authorization", f"Bearer key-{asked.tenant}"),
         ]
         front = part.front
-        judged = judge(front.ground, Head("POST", f"{asked.path}x", headers, front.now()))
+        judged = judge(front.ground, Head("POST", asked.target, headers, front.now()))
         if isinstance(judged, Failure):
             self.answered(asked, judged.failure().status, then)
             return
         way = judged.unwrap()
-        flow = Flow(front, way, Matter("POST", f"{asked.path}x", [], asked.id.encode()))
+        flow = Flow(front, way, Matter("POST", asked.target, [], asked.id.encode()))
 
         async def serve() -> None:
             flow.start()
             answer = await flow.answer
+            if isinstance(answer, Got):
+                assert isinstance(answer.body, bytes)
+                self.judge.delivered(asked, answer.status, answer.body)
             self.answered(asked, answer.status, then)
             flow.close(True)
 
@@ -465,7 +480,38 @@
 
         async def settle() -> None:
             outcome = await part.settle(call)
-            self.clock.after(MS, lambda: settled(outcome))
+            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            self.clock.after(MS, lambda: settled(told))
+
+        loop.call_soon(lambda: loop.create_task(settle()))
+
+    def call(
+        self,
+        name: str,
+        call: operator_api.Call,
+        then: Callable[[Result[operator_api.Answer, Fault]], None],
+        stands_still: int = 0,
+    ) -> None:
+        """At one core machine, by a caller who waits as long as it takes.
+
+        :param then: is told what left the machine
+        :param stands_still: us for which the machine does, between the decision and the answer
+        """
+        machine = self.machines[name]
+        loop, part = machine.loop, machine.part
+        assert loop is not None and isinstance(part, ControlNode)
+
+        async def settle() -> None:
+            outcome = await part.settle(call)
+            if stands_still:
+                self.freeze(name, True)
+                self.clock.after(stands_still, lambda: self.freeze(name, False))
+                await asyncio.sleep(0)
+            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            self.judge.at = self.clock.at
+            if isinstance(told, Success) and isinstance(told.unwrap(), operator_api.Retrieved):
+                self.judge.read_out(name, version_of(told.unwrap()))
+            then(told)
 
         loop.call_soon(lambda: loop.create_task(settle()))
 
@@ -483,8 +529,10 @@
     def evacuate(self, zone: str, on: bool, then: Callable[[], None] = lambda: None) -> None:
         if not on:
             self.judge.evacuated.pop(zone, None)
+        self.judge.orders(zone, on)
 
         def done(_: operator_api.Answer) -> None:
+            self.judge.settled(zone)
             if on:
                 self.judge.evacuated[zone] = self.clock.at
             then()
@@ -498,13 +546,15 @@
         came: list[int] = []
 
         def done(answer: operator_api.Answer) -> None:
-            assert isinstance(answer, operator_api.Retrieved)
-            came.append(int(json.loads(answer.body)["version"][1:]))
+            came.append(version_of(answer))
 
         self.order(operator_api.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
         self.judge.read_back(came[0] if came else None)
+        part = self.machines[self.primary()].part if self.primary() else None
+        if isinstance(part, ControlNode):
+            self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
 
     # -- a run -----------------------------------------------------------------------------------
 
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -14,7 +14,7 @@
 from vetchusher.discovery.reader import Reader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import evacuation_rows
-from vetchusher.distribution.snapshot import SnapshotStore, whole
+from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import NEVER, Source, vector_of
 from vetchusher.distribution.subscriber import Send, Subscriber
 from vetchusher.events import Event, LogEvent
@@ -27,6 +27,7 @@
 from . import operator_api
 from .applying import Applying
 from .following import Following
+from .lives import Lives
 from .paths import Channel, Paths
 from .persistence import Persister
 from .platform import Platform
@@ -37,10 +38,29 @@
 TICK_S = 0.05
 READ_PAUSE_S = 0.6  # between two whole reads of the list
 PASS_ON_S = 2.5  # for the primary's answer to an order passed on
+PASSED_READING_US = 1_000_000  # since it was passed on: what came of it is given out no later
+NAMED_US = 1_000_000  # since ingresses were looked up: the same of the directory's answers
+LATE_SEND_US = 500_000  # since it was decided: what was not sent by then is not sent at all
+OVERTAKEN_US = 900_000  # since it came: an order that bears no number is passed on no later
 MOST_WATCHERS = 2048
+ASK_AGAIN_US = 300_000  # told to whoever asked while no primary answered
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
-LAST_VOTE_S = 0.5  # for others to take over when this one ends
+LAST_VOTE_S = 0.5  # for a learner, if there is one, to take the seat of a machine that ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
+SHELF_BACK_OFF_S = 1.0  # after one that the disk refused
+
+
+def passed_on(done: wire.OrderDone) -> Fault:
+    """What the primary said of an order.
+
+    Danger: a kind of a newer release may be no refusal: whoever asked is to come back.
+    """
+    kind = Kind(done.kind) if done.kind in set(Kind) else Kind.NOT_SETTLED
+    return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
+
+
+def evacuation_of(asked: wire.Evacuate) -> control.SetEvacuation:
+    return control.SetEvacuation(asked.zone, asked.on, asked.after if asked.HasField("after") else None)
 
 
 class ControlNode:
@@ -87,6 +107,7 @@
         self.telling = Publisher(self.sources)
         self.applying = Applying(loop, self.reading, self.tell_state, note)
         self.configuration: Configuration | None = None
+        self.lives = Lives()
         self.watchers: dict[str, Channel] = {}  # by ip: to whom a grown vector is told unasked
         self.orders: dict[int, asyncio.Future[Result[bytes, Fault]]] = {}
         self.next_order = 1
@@ -107,8 +128,12 @@
     # -- inputs of the control state ----------------------------------------------------
 
     def feed(self, event: control.Input) -> None:
-        for output in self.member.handle(self.now(), event):
-            self.carry(output)
+        """Danger: this machine may stand still at any point; a message that says what is committed under a
+        lease of before is lost rather than sent late, as any message may be."""
+        decided_at = self.now()
+        for output in self.member.handle(decided_at, event):
+            if not isinstance(output, control.Send) or self.now() <= decided_at + LATE_SEND_US:
+                self.carry(output)
 
     def carry(self, output: control.Output) -> None:
         match output:
@@ -143,6 +168,8 @@
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
+        if self.overtaken(frame, channel):
+            return
         if kind == "control":
             heard = control.Received(frame.sender, frame.zone, frame.control)
             if frame.control.WhichOneof("kind") in LETTERS:
@@ -174,6 +201,15 @@
         elif kind == "heartbeat_reply":
             self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
 
+    def overtaken(self, frame: wire.Frame, channel: Channel) -> bool:
+        """Whether a later life of the process that wrote this has been heard.
+
+        Danger: it speaks of a disk that may be lost since, and of an ingress that has ended.
+        """
+        kind = frame.WhichOneof("body")
+        life = {"control": frame.control.life, "heartbeat": frame.heartbeat.life}.get(kind or "", 0)
+        return not self.lives.current(kind or "", frame.sender, life, channel.number)
+
     def heard(self) -> wire.HeartbeatReply:
         now = self.now()
         return wire.HeartbeatReply(
@@ -181,9 +217,13 @@
             members=self.member.members,
             primary=self.member.primary,
             # Danger: what is committed and not told yet would be taken for old.
-            in_force=self.member.in_force(now, self.control.stamp) and not self.applying.behind,
+            in_force=self.in_force(now) and not self.applying.behind,
         )
 
+    def in_force(self, now: int) -> bool:
+        """Whether a majority stands behind what is told here."""
+        return self.member.in_force(now, self.control.stamp)
+
     def tell_watchers(self) -> None:
         """A grown vector, unasked: whoever lacks it pulls at once."""
         self.tell_all(wire.Frame(heartbeat_reply=self.heard()))
@@ -196,53 +236,101 @@
 
     # -- orders -----------------------------------------------------------------------------
 
-    async def settle(self, call: operator_api.Call) -> Result[operator_api.Answer, Fault]:
+    async def settle(
+        self, call: operator_api.Call
+    ) -> Result[operator_api.Answer, Fault] | operator_api.Backed:
         """An operator's or a client's call at this machine's own doors."""
         match call:
             case operator_api.AskResolution(_, region, zone):
-                fronts = self.presence.name(self.now(), region, zone)
-                if not fronts:
-                    return Failure(Fault(Kind.NOT_SETTLED, "no ingress is known here"))
-                return Success(operator_api.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s)))
+                return self.resolve(region, zone)
             case operator_api.ReplaceConfiguration(body):
                 checked = await self.reading.read(body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
                 order = control.Replace(checked.unwrap().version, body)
                 passed = wire.OrderAsked(replace=wire.ReplaceConfiguration(body=body))
-                return (await self.decide(order, passed)).map(lambda _: operator_api.Replaced())
+                return acknowledged(await self.decide(order, passed), operator_api.Replaced())
             case operator_api.RetrieveConfiguration():
                 passed = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
-                return (await self.decide(control.Retrieve(), passed)).map(operator_api.Retrieved)
+                read = await self.decide(control.Retrieve(), passed)
+                return operator_api.Backed(read.outcome.map(operator_api.Retrieved), read.lasts)
             case operator_api.InitiateEvacuation(zone) | operator_api.TerminateEvacuation(zone):
                 if zone not in self.node.zones:
-                    return Failure(Fault(Kind.NOT_FOUND, f"no zone {zone}"))
+                    return self.no_zone(zone)
                 on = isinstance(call, operator_api.InitiateEvacuation)
                 passed = wire.OrderAsked(evacuate=wire.Evacuate(zone=zone, on=on))
-                outcome = await self.decide(control.SetEvacuation(zone, on), passed)
-                return outcome.map(lambda _: operator_api.EvacuationSet(zone, on))
+                decided = await self.decide(control.SetEvacuation(zone, on), passed)
+                return acknowledged(decided, operator_api.EvacuationSet(zone, on))
         return Failure(Fault(Kind.NOT_FOUND, "no such call"))
 
+    def resolve(self, region: str, zone: str) -> Result[operator_api.Answer, Fault] | operator_api.Backed:
+        """Ingresses that were heard here lately: this machine's own hearing, whoever leads."""
+        looked_at = self.now()
+        fronts = self.presence.name(looked_at, region, zone)
+        if not fronts:
+            return Failure(Fault(Kind.NOT_SETTLED, "no ingress is known here"))
+        answer = operator_api.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s))
+        return operator_api.Backed(Success(answer), lambda: self.now() <= looked_at + NAMED_US)
+
+    def no_zone(self, zone: str) -> operator_api.Backed:
+        """Danger: a cut-off machine's settings may be older than the zone, and a 404 ends an order."""
+        unknown = Failure(Fault(Kind.NOT_FOUND, f"no zone {zone}"))
+        return operator_api.Backed(unknown, lambda: self.in_force(self.now()))
+
     def refused(self, call: operator_api.Call, fault: Fault) -> None:
         """An operator got no 2xx."""
         told = {"call": type(call).__name__, "status": fault.status, "why": fault.text}
         self.note(LogEvent(Event.ORDER_REFUSED, told))
 
-    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> Result[bytes, Fault]:
-        """Settle it here where this is the primary; else pass it on once."""
+    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> operator_api.Backed:
+        """Settle it here where this is the primary; else pass it on once.
+
+        Danger: evacuations have no version.  One that waited at the door while this process stood still may
+        be older than its end, which others have acknowledged since.
+        """
+        if isinstance(order, control.SetEvacuation) and self.member.stood_still(self.now()):
+            waited = Failure(Fault(Kind.NOT_SETTLED, "it may have waited here", ASK_AGAIN_US))
+            return operator_api.Backed(waited, lambda: True)
         if self.member.holds(self.now()):
-            return await self.submit(order)
+            return await self.decide_here(order)
+        passed_at = self.now()
+        outcome = await self.pass_on(passed)
+        return operator_api.Backed(outcome, lambda: self.now() <= passed_at + PASSED_READING_US)
+
+    async def decide_here(self, order: control.Order) -> operator_api.Backed:
+        """By the epoch that this machine holds; it lasts as long as that is held."""
+        epoch = self.member.epoch
+        return operator_api.Backed(await self.submit(order), lambda: self.on_duty(epoch))
+
+    async def pass_on(self, passed: wire.OrderAsked) -> Result[bytes, Fault]:
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
-            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", 300_000))
-        answer = await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
+        answer = await self.ask_primary(primary, passed)
         if answer is None or answer.WhichOneof("body") != "done":
-            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", 300_000))
+            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", ASK_AGAIN_US))
         if answer.done.kind:
-            kind = Kind(answer.done.kind) if answer.done.kind in set(Kind) else Kind.NOT_SETTLED
-            return Failure(Fault(kind, answer.done.text, 300_000))
+            return Failure(passed_on(answer.done))
         return Success(answer.done.body)
 
+    async def ask_primary(self, primary: str, passed: wire.OrderAsked) -> wire.Frame | None:
+        """Its answer to an order passed on; an evacuation goes with the number of the zone's last order.
+
+        Danger: its caller may have given the same order elsewhere by now, and others since.  Held up here, it
+        is dropped; on its way, refused by the number.
+        """
+        began = self.now()
+        if passed.HasField("evacuate"):
+            asked = wire.EvacuationNumberAsked(zone=passed.evacuate.zone)
+            frame = wire.Frame(order=wire.OrderAsked(evacuation_number=asked))
+            told = await self.paths.ask(primary, frame, PASS_ON_S)
+            if told is None or told.WhichOneof("body") != "done" or told.done.kind:
+                return told
+            if self.now() >= began + OVERTAKEN_US:
+                return None
+            passed.evacuate.after = told.done.number
+        return await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+
     async def submit(self, order: control.Order) -> Result[bytes, Fault]:
         number, self.next_order = self.next_order, self.next_order + 1
         future: asyncio.Future[Result[bytes, Fault]] = self.loop.create_future()
@@ -261,20 +349,12 @@
 
     async def settle_for(self, frame: wire.Frame, channel: Channel) -> None:
         """An order that another core machine passed on: settled here or not at all."""
-        outcome: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "not the primary"))
-        if self.member.holds(self.now()):
-            asked = frame.order
-            kind = asked.WhichOneof("order")
-            if kind == "replace":
-                checked = await self.reading.read(asked.replace.body)
-                if isinstance(checked, Failure):
-                    outcome = Failure(checked.failure())
-                else:
-                    outcome = await self.submit(control.Replace(checked.unwrap().version, asked.replace.body))
-            elif kind == "retrieve":
-                outcome = await self.submit(control.Retrieve())
-            elif kind == "evacuate":
-                outcome = await self.submit(control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on))
+        asked = frame.order
+        if asked.HasField("evacuation_number") and self.member.holds(self.now()):
+            number = self.member.last_evacuation(asked.evacuation_number.zone)
+            channel.reply(frame, wire.Frame(done=wire.OrderDone(number=number)))
+            return
+        outcome = await self.settle_passed(asked)
         done = wire.OrderDone()
         match outcome:
             case Success(body):
@@ -283,6 +363,24 @@
                 done.kind, done.text = fault.kind.value, fault.text
         channel.reply(frame, wire.Frame(done=done))
 
+    async def settle_passed(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
+        """As it may leave: what is read out or refused for good only while the lease lasts."""
+        if not self.member.holds(self.now()):
+            return Failure(Fault(Kind.NOT_SETTLED, "not the primary"))
+        match asked.WhichOneof("order"):
+            case "replace":
+                checked = await self.reading.read(asked.replace.body)
+                if isinstance(checked, Failure):
+                    return Failure(checked.failure())
+                order = control.Replace(checked.unwrap().version, asked.replace.body)
+                return acknowledged(await self.decide_here(order), b"").leaving()
+            case "retrieve":
+                return (await self.decide_here(control.Retrieve())).leaving()
+            case "evacuate":
+                evacuation = evacuation_of(asked.evacuate)
+                return acknowledged(await self.decide_here(evacuation), b"").leaving()
+        return Failure(Fault(Kind.NOT_SETTLED, "no such order"))
+
     # -- time -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
@@ -319,13 +417,14 @@
     async def put_away(self, shelf: SnapshotStore, due: list[Source]) -> None:
         """Keep what has been told, off the loop; a disk that refuses is tried again after a while."""
         for ledger in due:
-            news = whole(ledger)
+            news = ledger.since(self.shelved.get(ledger.source, NEVER))
             if news is None:
                 continue
             outcome = await self.loop.run_in_executor(self.saving.thread, shelf.save, news)
             if isinstance(outcome, Failure):
                 self.note(LogEvent(Event.STORE_FAILED, {"why": outcome.failure().text}))
-                await asyncio.sleep(SHELF_PAUSE_S)
+                self.shelved.pop(ledger.source, None)  # all of it, when it is tried again
+                await asyncio.sleep(SHELF_BACK_OFF_S)
                 return
             self.shelved[ledger.source] = (news.stamp.epoch, news.stamp.seq)
         await asyncio.sleep(SHELF_PAUSE_S)
@@ -409,19 +508,31 @@
 
     def reseed(self, node: NodeSettings) -> None:
         self.node = node
-        self.follower.reseed([host for host, _ in node.seed_nodes])
+        seeds = [host for host, _ in node.seed_nodes]
+        self.member.reseed(seeds)
+        self.follower.reseed(seeds)
 
     def leave(self) -> None:
         """Another is to lead, or to hold the copy, at once."""
         self.feed(control.Retire())
 
+    def may_not_end(self, deadline_s: float, seat_end_s: float) -> bool:
+        """Whether this machine, about to end, has something that another has to take over first.
+
+        :param seat_end_s: on the loop's clock: until when it waits for its seat alone to be taken
+        """
+        at = self.loop.time()
+        if self.member.needed(self.now()):
+            return at < deadline_s
+        return self.member.seated and at < seat_end_s
+
     async def close(self, deadline_s: float) -> None:
         """Votes on until others have taken over, for a while.
 
         :param deadline_s: on the loop's clock
         """
-        end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
-        while self.member.needed and self.loop.time() < end:
+        seat_end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
+        while self.may_not_end(deadline_s, seat_end):
             await asyncio.sleep(TICK_S)
         await self.following.close()
         if self.duty is not None:
@@ -431,3 +542,10 @@
         self.mending.close()
         self.saving.close()
         self.reading.close()
+
+
+def acknowledged(decided: operator_api.Backed, answer: object) -> operator_api.Backed:
+    """A change that was settled: on enough disks it stays acknowledged, whoever leads by now."""
+    if isinstance(decided.outcome, Success):
+        return operator_api.Backed(Success(answer), lambda: True)
+    return decided
