--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -167,6 +167,7 @@
 ]
 FILE_NAMED = re.compile(r"`((?:[a-z_0-9]+/)*[a-z_0-9]+\.py)`")
 LINK = re.compile(r"\]\(([^)#:]+)(?:#[^)]*)?\)")
+MEMBER = re.compile(r"`([A-Z][A-Za-z]+)\.([a-z_]+)`")
 DEFINED = re.compile(r"`((?:[a-z_0-9]+/)+[a-z_0-9]+\.py)` `([A-Za-z_]+)`")
 
 
@@ -177,6 +178,23 @@
     return any((top / named).is_file() for top in (ROOT, PACKAGE))
 
 
+def members() -> dict[str, set[str]]:
+    """By class name: its methods and fields, those that its methods set on `self` too."""
+    found: dict[str, set[str]] = {}
+    for path in MODULES.values():
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ClassDef):
+                names = found.setdefault(node.name, set())
+                for part in ast.walk(node):
+                    if isinstance(part, ast.FunctionDef | ast.AsyncFunctionDef):
+                        names.add(part.name)
+                    elif isinstance(part, ast.AnnAssign) and isinstance(part.target, ast.Name):
+                        names.add(part.target.id)
+                    elif isinstance(part, ast.Attribute) and isinstance(part.ctx, ast.Store):
+                        names.add(part.attr)
+    return found
+
+
 class Pages(TestCase):
     def test_files_that_pages_name_exist(self):
         gone = [
@@ -196,6 +214,11 @@
         ]
         self.assertEqual([], broken)
 
+    def test_what_the_architecture_names_in_a_class_is_there(self):
+        known = members()
+        named = MEMBER.findall((ROOT / "docs" / "architecture.md").read_text())
+        self.assertEqual([], [f"{owner}.{name}" for owner, name in named if name not in known.get(owner, ())])
+
     def test_the_glossary_names_what_is_defined(self):
         gone = []
         for named, name in DEFINED.findall((ROOT / "docs" / "glossary.md").read_text()):
