--- a/benchmarks/core_campaign.py
+++ b/benchmarks/core_campaign.py
@@ -5,7 +5,7 @@
   core_campaign (-h | --help)
 
 Each round plays every kind of fault once, in an order drawn from the seed.  All calls of a tier are checked
-as one history (vetchusher/emulator/call_history.py).
+as one history (vetchusher/emulator/control/call_history.py).
 
 Options:
   --rounds N    For each tier [default: 10].
