--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -401,6 +401,7 @@
     "a word of a copy counts for good": "a copy told of before its disk was lost",
     "in force without the newest": "one that got no writes",
     "a delta is put onto whatever is held": "random search",
+    "a late copy is waited for": "a backup's disk hangs",
     "letters that waited through a stop are news": "a backup stopped with old letters waiting",
 }
 TRIES = 10  # seeds, until a planted fault must have been found
--- a/tests/test_control_changes.py
+++ b/tests/test_control_changes.py
@@ -19,6 +19,7 @@
 from vetchusher.control.deltas import BodyHistory, body_delta, body_of, chunked
 from vetchusher.control.state import changed, first_record, first_state, ordered, without_configuration
 from vetchusher.distribution.wire_pb2 import BodyDelta, ControlMessage, Write
+from vetchusher.emulator.control.changes import ChangesDay, place
 from vetchusher.emulator.control.world import configuration_body
 from vetchusher.emulator.fleet_world import SECOND
 
@@ -91,3 +92,26 @@
         self.assertTrue(answer.message.written.need_whole)
         self.assertFalse(answer.message.written.accepted)
         self.assertEqual(configuration_body(300, ROWS), reader.memory.state.configuration)
+
+
+class Days(testtools.TestCase):
+    """Virtual time, on the deployments' links and disks."""
+
+    def test_members_that_come_back_are_level_in_time_and_hold_up_no_change_too_long(self) -> None:
+        """`ChangesDay.late` has the bounds: 2 s to be level, `other_zone_us` and the bytes' time to wait."""
+        for seed, rows in ((1, 5000), (2, 1000), (3, 100)):
+            day = ChangesDay(place(rows, seed), 220)
+            self.assertEqual([], day.run())
+            self.assertGreaterEqual(len(day.returns), 7)
+            self.assertLess(day.entries(), 40)
+
+    def test_most_changes_go_as_deltas_whatever_fails(self) -> None:
+        day = ChangesDay(place(1000, 4), 200)
+        self.assertEqual([], day.run())
+        messages = day.traffic.messages
+        self.assertLess(10 * messages["write: whole"], messages["write: delta"])
+
+    def test_a_member_wiped_again_and_again_is_level_each_time(self) -> None:
+        day = ChangesDay(place(5000, 5), 120, ("wiped", "primary wiped"))
+        self.assertEqual([], day.run())
+        self.assertTrue(all(one.read_us is not None for one in day.returns))
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -20,9 +20,9 @@
         The rest of the lease is what two steady clocks may drift apart in that time
     :param other_zone_us: how long a write waits for a copy in another zone, or until one there is taught
     :param late_us: a copy in the primary's zone that has not synced a write for so long, and a microsecond
-        for each byte of the configuration, is replaced
+        for each byte of the configuration that was sent to it, is replaced
     :param rest_us: for how long a late one is not chosen again
-    :param yield_us: like `late_us`, of the primary's own disk: it hands over
+    :param yield_us: like `late_us`, of the primary's own disk and the whole configuration: it hands over
     :param drop_copy_us: for how long one that was replaced keeps its copy
     :param heard_us: who was heard within it is up
     :param stopped_us: a machine that ran nothing for so long stood still; ticks come ten times as often
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -163,6 +163,7 @@
         delta = self.delta_for(backup)
         if delta is not None or (backup.copy >= self.bodies.since and state.version):
             state = without_configuration(state)
+        backup.sent_bytes = delta.ByteSize() if delta is not None else len(state.configuration)
         life = self.peers.lives.get(ip, 0)
         write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life, delta=delta)
         return [Send(ip, ControlMessage(write=write))]
@@ -193,10 +194,6 @@
         if backup is not None:
             backup.reborn()
 
-    def patience(self, most: int) -> int:
-        """A large configuration takes its time on any disk."""
-        return most + len(self.memory.state.configuration)
-
     def mark_late(self, now: int) -> None:
         """Danger: one that stalls again and again must not hold up a write each time."""
         newest = at(self.memory.state)
@@ -207,7 +204,8 @@
                 continue
             # Danger: without the copy in another zone that zone's loss is more than is borne.
             most = self.timing.other_zone_us if self.away(ip) else self.timing.late_us
-            if now >= backup.first_at + self.patience(most):
+            # What was sent takes its time on any link and disk.
+            if now >= backup.first_at + most + backup.sent_bytes:
                 backup.rested_until = now + self.timing.rest_us
                 if ip not in copies:
                     backup.wrote = START  # when it is chosen again it has its time again
@@ -215,7 +213,8 @@
     def heir(self, now: int) -> str:
         """Who should lead, as this machine's own disk is late with a write; empty: nobody."""
         newest = at(self.memory.state)
-        late = now >= self.wrote_at + self.patience(self.timing.yield_us)
+        patience = self.timing.yield_us + len(self.memory.state.configuration)  # it may be written whole
+        late = now >= self.wrote_at + patience
         if self.memory.synced_stamp >= newest or not late:
             return ""
         return self.best_heir(now)
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -41,6 +41,7 @@
     :param record: epoch and number of the record that it has synced; it counts until `lease_until`
     :param needs_whole: it lacked what a delta built on: until it has synced a write it gets all of it
     :param wrote: stamp of the last write sent to it, first at `first_at`, last at `last_at`
+    :param sent_bytes: of the configuration, in that write
     :param rested_until: it was late with a write: until then, or until it syncs one, it is not chosen
     """
 
@@ -56,6 +57,7 @@
     wrote: Point = START
     first_at: int = 0
     last_at: int = 0
+    sent_bytes: int = 0
     pause: int = 0
     rested_until: int = 0
     joined_at: int = 0  # of a learner: when it asked last
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -245,6 +245,7 @@
     ),
     "in force without the newest": ((Replica, "in_force", in_force_unseen),),
     "a delta is put onto whatever is held": ((witness, "body_of", whatever_is_there),),
+    "a late copy is waited for": ((Primary, "mark_late", lambda self, now: None),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
 }
 
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -159,10 +159,10 @@
         once()
 
 
-def warmed(scene: Scene) -> World:
+def warmed(scene: Scene, kind: type[World] = World) -> World:
     """A world in which the first machine leads."""
     while True:
-        world = World(scene)
+        world = kind(scene)
         for ip in world.seeds:
             world.after(world.rng.randrange(100 * MS), partial(world.start, ip, first=True))
         world.run(WARM_UP)
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -83,11 +83,16 @@
 
 def configuration_body(version: int, rows: int) -> bytes:
     """A configuration; two versions that follow each other differ in the head and in a row or two."""
-    body = b"r%d" % version + b"." * 50
+    parts = [b"r%d" % version + b"." * 50]
     for row in range(rows):
         changed_at = version - (version - row) % rows  # the newest version that changed this row
-        body += b'{"row":%d,"since":%d,"filled":"%s"}\n' % (row, changed_at, b"f" * 40)
-    return body
+        parts.append(b'{"row":%d,"since":%d,"filled":"%s"}\n' % (row, changed_at, b"f" * 40))
+    return b"".join(parts)
+
+
+def taking(size: int, bytes_s: int) -> int:
+    """For how long (us) a link or a disk is busy with so many bytes."""
+    return size * SECOND // bytes_s if bytes_s else 0
 
 
 @dataclass(slots=True)
@@ -109,6 +114,7 @@
     disk_refuses: bool = False
     frozen: bool = False
     told: tuple[Point, int] = (START, 0)
+    link_free_at: int = 0  # when what was sent has left
     inbox: list[Input] = field(default_factory=list)
 
     def now(self, at: int) -> int:
@@ -277,7 +283,9 @@
         assert machine.saving is None, "two saves at once"
         machine.saving = save
         life = machine.life
-        self.after(self.rng.randrange(1, self.scene.disk_us), lambda: self.saved(machine, life, save))
+        busy = taking(save.kept.state.ByteSize(), self.scene.disk_bytes_s)
+        busy += self.rng.randrange(1, self.scene.disk_us)
+        self.after(busy, lambda: self.saved(machine, life, save))
 
     def saved(self, machine: Machine, life: int, save: Persist) -> None:
         if machine.life != life or machine.saving is not save:
@@ -296,13 +304,16 @@
     # -- links ---------------------------------------------------------------------------------
 
     def send(self, machine: Machine, to: str, data: bytes) -> None:
+        leaves = taking(len(data), self.scene.link_bytes_s)
+        machine.link_free_at = max(machine.link_free_at, self.at) + leaves
+        queued = machine.link_free_at - self.at if self.scene.link_bytes_s else 0
         for _ in range(1 + (self.rng.random() < self.scene.doubled)):
             if self.rng.random() < self.loss:
                 continue
             way = self.rng.randrange(self.scene.least_us, self.scene.most_us)
             if self.rng.random() < self.late:
                 way = self.rng.randrange(self.scene.late_us)
-            self.after(way, lambda: self.deliver(machine, to, data))
+            self.after(queued + way, lambda: self.deliver(machine, to, data))
 
     def deliver(self, sender: Machine, to: str, data: bytes) -> None:
         message = ControlMessage.FromString(data)
@@ -358,7 +369,9 @@
         if answer is not None:
             answer(out.outcome)
 
-    def replace(self, ip: str, version: int, then: Callable[[bool], None]) -> None:
+    def replace(
+        self, ip: str, version: int, then: Callable[[bool], None], patience: int = 4 * SECOND
+    ) -> None:
         began, number = self.at / SECOND, len(self.history.writes)
         self.history.writes.append(Wrote(version, began))
 
@@ -368,7 +381,7 @@
                 self.judge.acked(version)
             then(isinstance(outcome, Success))
 
-        self.order(ip, Replace(version, configuration_body(version, self.scene.body_rows)), answer)
+        self.order(ip, Replace(version, configuration_body(version, self.scene.body_rows)), answer, patience)
 
     def evacuate(self, ip: str, zone: str, on: bool, then: Callable[[bool], None]) -> None:
         """One at a time for each zone."""
