--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -555,6 +555,45 @@
             self.assertEqual(heard, feed.call_count)
 
 
+class Regained(TestCase):
+    """A lease that ran out and was regained, without another primary between: the epoch is the same."""
+
+    def test_the_list_goes_on_where_its_numbers_were_when_a_lease_is_regained(self):
+        """
+        primary   reads the list: 1, 2, 3, 4 .. loses its lease . regains it, of the same epoch: 5
+        e1        ........................................................................ takes it
+        """
+        world = World(Scene(seed=3))
+        world.warm_up()
+        gone = [f"10.9.0.{number}" for number in range(1, 5)]
+        for ip in gone:
+            world.servers.remove(ip)
+            world.run(world.clock.at + SECOND)
+        world.machines[world.primary()].part.end_duties()
+        world.run(world.clock.at + SECOND)
+        world.servers.remove("10.9.0.5")
+        world.run(world.clock.at + 2 * SECOND)
+        known = world.machines["e1"].part.known.values()
+        self.assertNotIn("10.9.0.5:80", [server.address for _, server in known])
+
+    def pressed(self):
+        """
+        primary   ........ loses its lease . regains it, of the same epoch
+        tenant    presses with 15 times its quota all the while
+        """
+        world = World(Scene(seed=1, hot=0.9, rate=200.0))
+        world.warm_up()
+        world.run(world.clock.at + SECOND)
+        world.machines[world.primary()].part.end_duties()
+        world.run(world.clock.at + 11 * SECOND)
+        return world.wrong()
+
+    def test_totals_are_held_on_where_a_lease_is_regained(self):
+        self.assertEqual([], self.pressed())
+        with planted("totals begin anew with a regained lease"):
+            self.assertIn(" QUOTA: ", " ".join(self.pressed()))
+
+
 class Evacuations(TestCase):
     """Orders without a number of their own, on core machines in virtual time."""
 
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -25,6 +25,7 @@
 from . import world
 
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
+REAL_HOLDER_OF = control_node.ControlNode.holder_of
 REAL_OVER = proxy.Flow.over
 REAL_EVACUATED = control_state.evacuated
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
@@ -64,6 +65,11 @@
     REAL_OVER(self, number, seen, prompt, got)
 
 
+def holds_totals_anew(self: control_node.ControlNode, epoch: int, now: int) -> Any:
+    self.resting = None
+    return REAL_HOLDER_OF(self, epoch, now)
+
+
 def keeps_the_drained(self: choice.Choice) -> None:
     REAL_PLACE(self)
     for standing in self.standings.values():
@@ -92,6 +98,7 @@
     "denied while not fresh": ((request.Ground, "refusal", lambda self, kind, text: Fault(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
+    "totals begin anew with a regained lease": ((control_node.ControlNode, "holder_of", holds_totals_anew),),
     "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
     "answers are not told by their ids": ((proxy.Flow, "over", takes_the_answer_before),),
     "keys go along to servers": (
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -501,6 +501,7 @@
     def read_back(self) -> None:
         """At the end of a run, in calm times: what is in force has to come."""
         came: list[int] = []
+        asked_at = self.clock.at
 
         def done(answer: operator_api.Answer) -> None:
             assert isinstance(answer, operator_api.Retrieved)
@@ -509,7 +510,7 @@
         self.order(operator_api.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
-        self.judge.read_back(came[0] if came else None)
+        self.judge.read_back(came[0] if came else None, asked_at)
         part = self.machines[self.primary()].part if self.primary() else None
         if isinstance(part, ControlNode):
             self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -99,6 +99,7 @@
         self.next_order = 1
         self.duty: asyncio.Task[None] | None = None
         self.holder: Holder | None = None
+        self.resting: Holder | None = None  # of the epoch whose lease ran out last: it may be regained
         self.platform = Platform(node.cloud_api)
         self.following = Following(self.paths, self.follower, self)
         self.shelf = shelf
@@ -375,14 +376,21 @@
         for name in self.directory.rows:
             self.presence.remember(now, name)
         if self.holder is None:
-            bounds = self.node.bounds
-            quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
-            self.holder = Holder(epoch, now, quota)
+            self.holder = self.holder_of(epoch, now)
             self.holder.fleet(now, self.presence.may_serve())
             if self.configuration is not None:
                 self.holder.configure(now, self.configuration.tenants)
         self.duty = self.loop.create_task(self.read_list(epoch))
 
+    def holder_of(self, epoch: int, now: int) -> Holder:
+        """Danger: ingresses know holders by the epoch.  One that begins anew within it would be taken for the
+        one that has heard of all that passed."""
+        if self.resting is not None and self.resting.life == epoch:
+            return self.resting
+        bounds = self.node.bounds
+        quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
+        return Holder(epoch, now, quota)
+
     def tell_ingresses(self) -> None:
         """Who may be serving, as rows: by how many a quota is divided, and who knows whom."""
         rows = self.presence.rows(self.now())
@@ -393,7 +401,7 @@
                 self.tell_watchers()
 
     def end_duties(self) -> None:
-        self.holder = None
+        self.resting, self.holder = self.holder, None
         if self.duty is not None:
             self.duty.cancel()
         self.note(LogEvent(Event.TOTALS_LEFT))
@@ -404,7 +412,10 @@
     async def read_list(self, epoch: int) -> None:
         """Read the platform's list, and tell what it says, for as long as the epoch is held."""
         reader = Reader(self.node.zones, self.discovery.values())
-        seq, told, failed = 0, None, False
+        # Danger: a regained lease is of the same epoch; numbers that began again would be taken for old.
+        published, seq = self.discovery.stamp
+        seq = seq if published == epoch else 0
+        told, failed = None, False
         while self.on_duty(epoch):
             began = self.loop.time()
             match await self.platform.read():
