--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -544,6 +544,7 @@
     def read_back(self) -> None:
         """At the end of a run, in calm times: what is in force has to come."""
         came: list[int] = []
+        asked_at = self.clock.at
 
         def done(answer: operator_api.Answer) -> None:
             came.append(version_of(answer))
@@ -551,7 +552,7 @@
         self.order(operator_api.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
-        self.judge.read_back(came[0] if came else None)
+        self.judge.read_back(came[0] if came else None, asked_at)
         part = self.machines[self.primary()].part if self.primary() else None
         if isinstance(part, ControlNode):
             self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
