--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -22,6 +22,7 @@
 from vetchusher.emulator.fleet_world import MS, SECOND
 
 from .closure import Moment, unbearable
+from .machine_faults import FAULTS, Fault, wiped
 from .racers import Racer
 from .world import Scene, World
 
@@ -193,58 +194,13 @@
 
     # -- faults: each begins at one machine, and says how it ends ------------------------------
 
-    def faults(self) -> dict[str, Callable[[str], Callable[[], None]]]:
-        world = self.world
-
-        def killed(ip: str) -> Callable[[], None]:
-            world.kill(ip)
-            return lambda: world.start(ip)
-
-        def ended(ip: str) -> Callable[[], None]:
-            world.end(ip)
-
-            def begin_again() -> None:
-                world.kill(ip)
-                world.start(ip)
-
-            return begin_again
-
-        def frozen(ip: str) -> Callable[[], None]:
-            world.freeze(ip)
-            return lambda: world.thaw(ip)
-
-        def cut(hears: bool, is_heard: bool) -> Callable[[str], Callable[[], None]]:
-            def begin(ip: str) -> Callable[[], None]:
-                world.cut(ip, hears, is_heard)
-                return lambda: world.join(ip)
+    def drawn_fault(self) -> Fault:
+        kinds = [kind for kind in FAULTS if not self.search.kinds or kind in self.search.kinds]
+        return FAULTS[self.rng.choice(kinds)]
 
-            return begin
-
-        def disk(name: str) -> Callable[[str], Callable[[], None]]:
-            def begin(ip: str) -> Callable[[], None]:
-                setattr(world.machines[ip], name, True)
-                return lambda: setattr(world.machines[ip], name, False)
-
-            return begin
-
-        return {
-            "killed": killed,
-            "ended": ended,
-            "frozen": frozen,
-            "cut": cut(False, False),
-            "deaf": cut(False, True),
-            "mute": cut(True, False),
-            "disk hangs": disk("disk_hangs"),
-            "disk refuses": disk("disk_refuses"),
-        }
-
-    def drawn_fault(self) -> Callable[[str], Callable[[], None]]:
-        faults = self.faults()
-        return faults[self.rng.choice([k for k in faults if not self.search.kinds or k in self.search.kinds])]
-
-    def begin(self, ip: str, fault: Callable[[str], Callable[[], None]], length: int) -> None:
+    def begin(self, ip: str, fault: Fault, length: int) -> None:
         self.lost_until[ip] = NEVER
-        end = fault(ip)
+        end = fault(self.world, ip)
 
         def ended() -> None:
             end()
@@ -338,9 +294,7 @@
         members = self.members()
         minority = len(members) - majority(len(members))
         for ip in rng.sample(members, min(minority, self.search.tolerated)) if rng.random() < 0.5 else ():
-            world.after(
-                rng.randrange(ends - world.at), partial(self.begin, ip, self.wiped, rng.randrange(SECOND))
-            )
+            world.after(rng.randrange(ends - world.at), partial(self.begin, ip, wiped, rng.randrange(SECOND)))
         while world.at < ends and not world.judge.wrong:
             self.wild_fault(ends)
             self.passes(int(rng.expovariate(1 / self.search.every)) + 1)
@@ -410,11 +364,7 @@
             rng.choice((self.replaced, self.replaced_as_planned))(ip)
             return
         length = rng.choice((rng.randrange(300 * MS), rng.randrange(SECOND), rng.randrange(3 * SECOND)))
-        self.begin(ip, self.wiped if rng.random() < 0.5 else self.drawn_fault(), length)
-
-    def wiped(self, ip: str) -> Callable[[], None]:
-        self.world.wipe(ip)
-        return lambda: self.world.start(ip)
+        self.begin(ip, wiped if rng.random() < 0.5 else self.drawn_fault(), length)
 
     def closing_fault(self) -> None:
         world, rng = self.world, self.rng
