--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -20,18 +20,22 @@
         The rest of the lease is what two steady clocks may drift apart in that time
     :param other_zone_us: how long a write waits for a copy in another zone, or until one there is taught
     :param late_us: a copy in the primary's zone that has not synced a write for so long, and a microsecond
-        for each byte of the configuration, is replaced
+        for each byte of the configuration that was sent to it, is replaced
     :param rest_us: for how long a late one is not chosen again
-    :param yield_us: like `late_us`, of the primary's own disk: it hands over
+    :param yield_us: like `late_us`, of the primary's own disk and the whole configuration: it hands over
     :param drop_copy_us: for how long one that was replaced keeps its copy
     :param heard_us: who was heard within it is up
     :param answer_us: so long after an epoch's begin a member that was heard may be one that hears nothing
     :param stopped_us: a machine that ran nothing for so long stood still; ticks come ten times as often
     :param unheard_us: a primary that has heard no majority for so long renews nobody's lease until it does
     :param regain_us: how long a primary whose lease ran out goes on asking before it gives up its epoch
+    :param leaving_pause_us: how much longer than others a machine that is leaving waits before it stands
     :param candidate_backoff_us: after a promise, no other candidate is encouraged for so long
     :param anew_us: when nobody remembers anything at all: how long to look for somebody before beginning anew
-    :param drop_us: a member unheard for so long is left out where that lets the others bear one loss more
+    :param drop_us: members unheard for so long are left out where that lets the others bear one loss more
+    :param settle_us: after the begin of an epoch a leaving voter stays for so long: learners make themselves
+        known to the new primary
+    :param replace_us: a member unheard for so long gives its seat to a learner that is ready
     """
 
     renew_us: int = 250_000
@@ -49,6 +53,7 @@
     regain_us: int = 300_000
     candidate_backoff_us: int = 400_000
     pause_us: int = 200_000
+    leaving_pause_us: int = 600_000
     probe_us: int = 300_000
     ask_us: int = 1_000_000
     order_us: int = 3_000_000
@@ -60,6 +65,8 @@
     join_us: int = 500_000
     learner_us: int = 5_000_000
     drop_us: int = 15_000_000
+    replace_us: int = 1_000_000
+    settle_us: int = 1_500_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -118,8 +125,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SetEvacuation:
+    """:param after: number of the zone's last order when this one was passed on; None: it never was"""
+
     zone: str
     on: bool
+    after: int | None = None
 
 
 Order = Replace | Retrieve | SetEvacuation
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -6,12 +6,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
 from returns.result import Failure, Result, Success
 
 from vetchusher.distribution.wire_pb2 import (
+    BodyDelta,
     ControlMessage,
     ControlState,
     Drop,
@@ -26,11 +27,13 @@
 from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
 
+from .deltas import BodyHistory
 from .durable_state import DurableState
-from .messages import Committed, Completed, Order, Output, Replace, Retrieve, Send, Submitted, Timing
+from .messages import Committed, Completed, Order, Output, Retrieve, Send, Submitted, Timing
+from .orders import Decision, Numbers, OrderBatch
 from .progress import Peers, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, Point, at, changed, enough, ordered, stamp, without_configuration
+from .state import START, at, changed, has_quorum, stamp, voters, without_configuration
 
 MOST_ORDERS = 256  # that wait at once
 MOST_LEARNERS = 8
@@ -67,11 +70,12 @@
         self.renewed_at = now - timing.renew_us
         self.progress = ProgressTracker(timing, peers, first_round, now)
         self.reconfiguration = Reconfiguration(memory, self.progress, epoch, found, losses, now)
-        self.whole_from: Point = START  # when this epoch first wrote the configuration that it holds
+        self.bodies = BodyHistory()
         self.committed: ControlState | None = None
         self.write_began: int | None = None
         self.wrote_at = now
-        self.writing: list[tuple[Waiting, Result[bytes, Fault]]] = []
+        self.writing: list[tuple[Waiting, Decision]] = []
+        self.numbers: Numbers | None = None  # of the last batch with a configuration
         self.waiting: list[Waiting] = []
         self.reading: list[Waiting] = []
         self.led = False  # the lease was held at least once
@@ -111,12 +115,28 @@
             return self.probe()
         round_ = self.progress.next_round(now)
         renew = LeaseRenewal(
-            epoch=self.epoch, round=round_, committed=self.told(now), record=self.reconfiguration.newest()
+            epoch=self.epoch,
+            round=round_,
+            committed=self.told(now),
+            record=self.reconfiguration.newest(),
+            changing=self.changing(now),
         )
         message = ControlMessage(renew=renew)
         readers = [*self.reconfiguration.everybody(), *self.progress.learners]
         return [Send(ip, message) for ip in readers] + self.drop(now)
 
+    def changing(self, now: int) -> bool:
+        """Whether a voter that is leaving has to stay, as its seat is about to be taken."""
+        reconfiguration = self.reconfiguration
+        if any(one.previous_members for one in reconfiguration.sets()):
+            return True
+        if self.committed is None or now < self.began + self.timing.settle_us:
+            return True
+        leaving = self.peers.leaving
+        return not leaving.isdisjoint(reconfiguration.members) and any(
+            ip not in leaving and self.progress.heard(now, ip) for ip in self.progress.learners
+        )
+
     def unheard(self, now: int) -> bool:
         """No majority of the members has been heard lately: nothing it says can bring it a lease.
 
@@ -126,7 +146,7 @@
         since = now - self.timing.unheard_us
         others = self.reconfiguration.everybody()
         heard = {ip for ip in others if max(self.began, heard_at.get(ip, 0)) > since} | {self.peers.me}
-        return not all(enough(members, heard) for members in self.reconfiguration.electorates())
+        return not all(has_quorum(one, heard) for one in self.reconfiguration.sets())
 
     def probe(self) -> list[Output]:
         """A question that anybody answers and that gives no lease."""
@@ -148,7 +168,8 @@
         state = changed(state, (self.epoch, state.stamp.seq + 1))
         first_write = self.committed is None and self.write_began is None
         if first_write or state.version != before.version:
-            self.whole_from = at(state)
+            since = at(before) if first_write else self.bodies.since
+            self.bodies.advance(at(state), state.configuration, before.configuration, since)
         self.memory.hold(state)
         self.write_began = self.wrote_at = now
         return self.teach(now)
@@ -156,8 +177,12 @@
     def taught(self, now: int) -> set[str]:
         """Who gets every write: the copies, and those that are to become copies."""
         # A late one in another zone: it holds a copy again as soon as it has shown that it can.
-        late = {ip for ip in self.reconfiguration.members if self.away(ip) and self.progress.rests(now, ip)}
-        return (self.reconfiguration.copies() | self.reconfiguration.wanted(now) | late) - {self.peers.me}
+        reconfiguration = self.reconfiguration
+        late = {ip for ip in reconfiguration.members if self.away(ip) and self.progress.rests(now, ip)}
+        coming = self.next_members(now)
+        newcomers = set(coming) - set(reconfiguration.members)
+        wanted = reconfiguration.wanted(now) | reconfiguration.wanted(now, coming)
+        return (reconfiguration.copies() | wanted | newcomers | late) - {self.peers.me}
 
     def away(self, ip: str) -> bool:
         """Whether it lies in another zone."""
@@ -183,18 +208,31 @@
         else:
             backup.wrote, backup.first_at, backup.pause = at(state), now, self.timing.resend_us
         backup.last_at = now
-        if backup.copy >= self.whole_from and state.version:
+        delta = self.delta_for(backup)
+        if delta is not None or (backup.copy >= self.bodies.since and state.version):
             state = without_configuration(state)
+        backup.sent_bytes = delta.ByteSize() if delta is not None else len(state.configuration)
         life = self.peers.lives.get(ip, 0)
-        write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life)
+        write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life, delta=delta)
         return [Send(ip, ControlMessage(write=write))]
 
+    def delta_for(self, backup: ReplicaProgress) -> BodyDelta | None:
+        """For one that holds the configuration before this one, as far as is known.
+
+        Whoever takes a first write is expected to hold what this machine held.  A reader that lacks a chunk
+        says so and gets the whole: the guess costs a round trip, nothing else.
+        """
+        if backup.needs_whole or backup.copy >= self.bodies.since:
+            return None
+        guessed = self.committed is None and backup.copy == START and not backup.amnesiac
+        return self.bodies.delta() if guessed or backup.copy >= self.bodies.former_since > START else None
+
     def written(self, now: int, sender: str, answer: WriteReply) -> list[Output]:
         backup = self.progress.known(sender)
         if backup is None or answer.epoch != self.epoch:
             return []
         if answer.need_whole:
-            backup.copy = START
+            backup.copy, backup.needs_whole = START, True
             return self.send(now, sender, backup)
         self.progress.written(sender, answer)
         return []
@@ -204,10 +242,6 @@
         if backup is not None:
             backup.reborn()
 
-    def patience(self, most: int) -> int:
-        """A large configuration takes its time on any disk."""
-        return most + len(self.memory.state.configuration)
-
     def mark_late(self, now: int) -> None:
         """Danger: one that stalls again and again must not hold up a write each time."""
         newest = at(self.memory.state)
@@ -218,7 +252,8 @@
                 continue
             # Danger: without the copy in another zone that zone's loss is more than is borne.
             most = self.timing.other_zone_us if self.away(ip) else self.timing.late_us
-            if now >= backup.first_at + self.patience(most):
+            # What was sent takes its time on any link and disk.
+            if now >= backup.first_at + most + backup.sent_bytes:
                 backup.rested_until = now + self.timing.rest_us
                 if ip not in copies:
                     backup.wrote = START  # when it is chosen again it has its time again
@@ -226,7 +261,8 @@
     def heir(self, now: int) -> str:
         """Who should lead, as this machine's own disk is late with a write; empty: nobody."""
         newest = at(self.memory.state)
-        late = now >= self.wrote_at + self.patience(self.timing.yield_us)
+        patience = self.timing.yield_us + len(self.memory.state.configuration)  # it may be written whole
+        late = now >= self.wrote_at + patience
         if self.memory.synced_stamp >= newest or not late:
             return ""
         return self.best_heir(now)
@@ -244,19 +280,9 @@
         """Lets the record stand and commits the write under way if it may be, then begins what comes next,
         and answers what can be answered."""
         out: list[Output] = []
-        before = set(self.reconfiguration.record.members)
+        before = self.reconfiguration.record
         if self.reconfiguration.settle(now):
-            for ip in set(self.reconfiguration.record.members) - before:
-                out.append(
-                    LogEvent(
-                        Event.MEMBER_JOINED, {"member": ip, "members": len(self.reconfiguration.members)}
-                    )
-                )
-            facts = {
-                "copies": ",".join(self.reconfiguration.record.copies),
-                "number": self.reconfiguration.record.number,
-            }
-            out.append(LogEvent(Event.COPIES_HELD, {"epoch": self.epoch} | facts))
+            out += self.standing_events(before)
         self.mark_late(now)
         if self.reconfiguration.proposed is None and self.propose(now):
             out += self.renew(now)
@@ -268,20 +294,55 @@
             out += self.answer(now)
         return out + self.teach(now)
 
+    def standing_events(self, before: ReplicaSet) -> list[Output]:
+        """What the log says of a set that has come to stand.
+
+        :param before: the set that stood until now
+        """
+        record = self.reconfiguration.record
+        facts = {"copies": ",".join(record.copies), "number": record.number}
+        events = [LogEvent(Event.COPIES_HELD, {"epoch": self.epoch} | facts)]
+        for ip in sorted(set(record.members) - voters(before)):
+            events.append(LogEvent(Event.MEMBER_JOINED, {"member": ip, "members": len(record.members)}))
+        for ip in sorted(voters(before) - voters(record)):
+            events.append(LogEvent(Event.MEMBER_REMOVED, {"member": ip, "members": len(record.members)}))
+        return list(events)
+
     def propose(self, now: int) -> bool:
-        """Whether the next record was proposed: other copies, or other members."""
+        """Whether the next replica set was proposed: other copies, or other voters."""
         reconfiguration = self.reconfiguration
-        wanted = reconfiguration.wanted(now)
-        since = at(self.committed or self.memory.state)
-        if wanted != set(reconfiguration.record.copies) or not reconfiguration.standing:
-            if not all(reconfiguration.whole(now, ip, since) for ip in wanted):
-                return False
-            reconfiguration.propose(wanted, reconfiguration.members)
+        record = reconfiguration.record
+        if not reconfiguration.standing:
+            # Danger: the set that was found may stand or not; the same electorates have to decide on it.
+            return self.propose_whole(now, record.members, record.previous_members)
+        if reconfiguration.joint:
+            reconfiguration.propose(record.copies, record.members)
+            return True
+        members = self.next_members(now)
+        if set(members) != set(record.members) and self.propose_whole(now, members, record.members):
             return True
-        members = reconfiguration.next_members(now, self.began) if self.committed is not None else None
-        if members is not None:
-            reconfiguration.propose(wanted, members)
-        return members is not None
+        copies_change = reconfiguration.wanted(now) != set(record.copies)
+        return copies_change and self.propose_whole(now, record.members)
+
+    def propose_whole(self, now: int, members: Sequence[str], previous: Sequence[str] = ()) -> bool:
+        """Whether a set was proposed: all that it newly names hold the whole state.
+
+        :param previous: the voters before, where `members` are others
+        """
+        reconfiguration = self.reconfiguration
+        wanted = reconfiguration.wanted(now, members)
+        newcomers = set(members) - set(reconfiguration.record.members)
+        since = at(self.committed or self.memory.state)
+        if not all(reconfiguration.whole(now, ip, since) for ip in wanted | newcomers):
+            return False
+        reconfiguration.propose(wanted, members, previous)
+        return True
+
+    def next_members(self, now: int) -> list[str]:
+        """The voters that there should be."""
+        if self.committed is None or self.reconfiguration.joint:
+            return self.reconfiguration.members
+        return self.reconfiguration.next_members(now, self.began)
 
     def settled(self, now: int, began: int) -> bool:
         reconfiguration, newest = self.reconfiguration, at(self.memory.state)
@@ -302,19 +363,18 @@
 
     def next_write(self, now: int) -> list[Output]:
         """All orders that wait go into one write."""
-        held = state = self.memory.state
-        batch, self.waiting = self.waiting, []
+        batch = OrderBatch(self.memory.state, self.numbers)
+        waiting, self.waiting = self.waiting, []
         done: list[Output] = []
-        for waiting in batch:
-            order = waiting.order
-            if ordered(held, order).value_or(None) is held and (state is held or isinstance(order, Replace)):
-                done.append(Completed(waiting.number, Success(b"")))  # it relies on nothing that is under way
-                continue
-            after = ordered(state, order)
-            state = after.value_or(state)
-            self.writing.append((waiting, after.map(lambda _: b"")))
-        if state is not held or self.dropped(now):
-            return done + self.write(now, state)
+        for one in waiting:
+            decision = batch.decide(one.order)
+            if decision.relies_on_write:
+                self.writing.append((one, decision))
+            else:
+                done += decision.answer(one.number)
+        self.numbers = batch.numbers()
+        if batch.state is not batch.held or self.dropped(now):
+            return done + self.write(now, batch.state)
         return done
 
     # -- copies that are needed no more --------------------------------------------------------
@@ -328,7 +388,7 @@
         # Danger: what is being written now may be needed there yet.
         keep, upto = self.taught(now), at(self.committed)
         out: list[Output] = []
-        for ip in reconfiguration.everybody():
+        for ip in [*reconfiguration.everybody(), *self.progress.learners]:
             backup = self.progress.member(ip)
             if ip not in keep and backup.holds:
                 backup.dropped, backup.holds, backup.copy = upto, False, START
@@ -356,13 +416,13 @@
             out += [Completed(w.number, self.read()) for w in self.reading]
             self.reading = []
             if self.write_began is None:
-                out += [Completed(w.number, outcome) for w, outcome in self.writing]
+                out += [one for w, decision in self.writing for one in decision.answer(w.number)]
                 self.writing = []
         late = [w for w in self.all_waiting() if now >= w.until]
         if late:
             self.reading = [w for w in self.reading if now < w.until]
             self.waiting = [w for w in self.waiting if now < w.until]
-            self.writing = [(w, outcome) for w, outcome in self.writing if now < w.until]
+            self.writing = [(w, decision) for w, decision in self.writing if now < w.until]
         return out + unsettled(late, "not on enough disks in time")
 
     def all_waiting(self) -> list[Waiting]:
@@ -380,12 +440,19 @@
 
     # -- machines that ask to join -------------------------------------------------------------
 
-    def join(self, now: int, ip: str) -> None:
-        if ip in self.reconfiguration.members or ip in self.reconfiguration.everybody():
-            return
-        if ip in self.progress.learners or len(self.progress.learners) < MOST_LEARNERS:
-            self.progress.members.pop(ip, None)
-            self.progress.learners.setdefault(ip, ReplicaProgress()).joined_at = now
+    def join(self, now: int, ip: str) -> list[Output]:
+        """A machine with a disk that does not vote is a learner for as long as it asks."""
+        learners = self.progress.learners
+        if ip in self.reconfiguration.everybody():
+            return []
+        if ip in learners:
+            learners[ip].joined_at = now
+            return []
+        if len(learners) >= MOST_LEARNERS:
+            return []
+        self.progress.members.pop(ip, None)
+        learners[ip] = ReplicaProgress(joined_at=now)
+        return self.renew(now)  # it has the set that stands as soon as can be
 
 
 def unsettled(waiting: Iterable[Waiting], text: str) -> list[Output]:
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -42,6 +42,23 @@
     return len(set(members).intersection(some)) >= majority(len(members))
 
 
+def electorates(replica_set: ReplicaSet) -> list[Sequence[str]]:
+    """The sets of voters of which a majority each is needed: two while members are being changed."""
+    sets = (replica_set.members, replica_set.previous_members)
+    return [tuple(voters) for voters in sets if voters]
+
+
+def voters(replica_set: ReplicaSet) -> set[str]:
+    """All machines of all electorates."""
+    return {ip for electorate in electorates(replica_set) for ip in electorate}
+
+
+def has_quorum(replica_set: ReplicaSet, some: Iterable[str]) -> bool:
+    """Whether `some` hold a majority of each electorate."""
+    given = set(some)
+    return all(enough(electorate, given) for electorate in electorates(replica_set))
+
+
 def first_state() -> ControlState:
     return ControlState(stamp=stamp(START))
 
@@ -77,22 +94,36 @@
 def ordered(state: ControlState, order: Order) -> Result[ControlState, Fault]:
     """The state after one order; the very same object where the order changes nothing."""
     if isinstance(order, Replace):
-        return Success(state if order.version <= state.version else replaced(state, order))
+        return replaced(state, order)
     if isinstance(order, SetEvacuation):
         return evacuated(state, order)
     return Success(state)
 
 
-def replaced(state: ControlState, order: Replace) -> ControlState:
+def replaced(state: ControlState, order: Replace) -> Result[ControlState, Fault]:
+    """The highest version holds: a lower one changes nothing, and an equal one has to be the same order."""
+    if order.version == state.version and order.body != state.configuration:
+        return Failure(conflict(order.version))
+    if order.version <= state.version:
+        return Success(state)
     made = changed(state)
     made.version, made.configuration = order.version, order.body
-    return made
+    return Success(made)
+
+
+def conflict(version: int) -> Fault:
+    return Fault(
+        Kind.CONFLICT, f"r{version} is taken by another body: read it back, and send a higher version"
+    )
 
 
 def evacuated(state: ControlState, order: SetEvacuation) -> Result[ControlState, Fault]:
     held = first((e for e in state.evacuations if e.zone == order.zone), None)
     if order.on == (held is not None and held.on):
         return Success(state)
+    # Danger: on its way between two machines an order may be held up, and come after later ones.
+    if order.after is not None and order.after != last_order(state, order.zone):
+        return Failure(Fault(Kind.NOT_SETTLED, "the zone had another order meanwhile"))
     if held is None and len(state.evacuations) >= MOST_ZONES:
         return Failure(Fault(Kind.INVALID, f"evacuation of {order.zone[:40]}: too many zones are named"))
     number = 1 + max((e.order for e in state.evacuations), default=0)
@@ -104,6 +135,11 @@
     return Success(made)
 
 
+def last_order(state: ControlState, zone: str) -> int:
+    """Number of the zone's last order of evacuation; 0: there was none."""
+    return max((e.order for e in state.evacuations if e.zone == zone), default=0)
+
+
 def without_configuration(state: ControlState) -> ControlState:
     made = ControlState(
         stamp=state.stamp,
@@ -122,6 +158,10 @@
     """
     if held.version != written.version or held.stamp.epoch != written.stamp.epoch:
         return None
+    return with_body(written, held.configuration)
+
+
+def with_body(written: ControlState, body: bytes) -> ControlState:
     made = changed(written)
-    made.configuration, made.configuration_left_out = held.configuration, False
+    made.configuration, made.configuration_left_out = body, False
     return made
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -8,17 +8,36 @@
 from typing import Any
 from unittest import mock
 
-from vetchusher.control import amnesia, durable_state, election, messages, progress, reconfiguration, voter
+from returns.result import Failure, Result, Success
+
+from vetchusher.control import (
+    amnesia,
+    deltas,
+    durable_state,
+    election,
+    messages,
+    orders,
+    progress,
+    reconfiguration,
+    seats,
+    state,
+    voter,
+    witness,
+)
+from vetchusher.control.chunks import listed, name_of
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
-from vetchusher.control.state import START, Point, at, enough, first_record, first_state
+from vetchusher.control.state import START, Point, at, first_record, first_state, has_quorum
 from vetchusher.distribution.wire_pb2 import (
+    BodyDelta,
     ControlMessage,
+    ControlState,
     LeaseRenewalReply,
     ReplicaSet,
     VoteReply,
     WriteReply,
 )
+from vetchusher.kinds import Fault
 
 REAL_START, REAL_FOLLOWS = Replica.__init__, Replica.follows
 REAL_RENEWED, REAL_ASKED, REAL_WRITTEN = (
@@ -33,6 +52,10 @@
     reconfiguration.Reconfiguration.wanted,
     Replica.hand_over,
 )
+REAL_PROPOSE = reconfiguration.Reconfiguration.propose
+
+REAL_ORDERS, REAL_SUBMIT = orders.OrderBatch.replace, Primary.submit
+REAL_BATCH = orders.OrderBatch.__init__
 
 
 def told_at_once(
@@ -45,7 +68,7 @@
     return ip == self.me or REAL_WHOLE(self, now, ip, since)
 
 
-def one_is_enough(members: Sequence[str], some: Any) -> bool:
+def one_is_enough(replica_set: ReplicaSet, some: Any) -> bool:
     return bool(set(some))
 
 
@@ -64,10 +87,30 @@
     return True
 
 
-def one_zone(self: reconfiguration.Reconfiguration, now: int) -> set[str]:
+def one_zone(
+    self: reconfiguration.Reconfiguration, now: int, members: Sequence[str] | None = None
+) -> set[str]:
     peers = self.progress.peers
     with mock.patch.object(peers, "zones", {}):
-        return REAL_WANTED(self, now)
+        return REAL_WANTED(self, now, members)
+
+
+def without_the_previous(
+    self: reconfiguration.Reconfiguration,
+    copies: Sequence[str],
+    members: Sequence[str],
+    previous: Sequence[str] = (),
+) -> None:
+    REAL_PROPOSE(self, copies, members)
+
+
+def one_more_then_one_less(roster: seats.Roster, size: int) -> list[str]:
+    """The newcomer beside the one that it replaces, which is left out later."""
+    members, spares = list(roster.members), list(roster.spares)
+    if spares:
+        return [*members, spares[0]]
+    lost = [ip for ip in roster.gone_for_long if ip not in roster.keep]
+    return [ip for ip in members if ip != lost[0]] if len(members) > 3 and lost else members
 
 
 def remembers_nothing(self: Replica, *args: Any, **named: Any) -> None:
@@ -119,7 +162,7 @@
 
 def stands_unnamed(self: election.Candidate, answers: dict[str, VoteReply]) -> bool:
     best = self.best(answers)
-    return self.memory.copy and enough(best.members, {self.me, *answers})
+    return self.memory.copy and has_quorum(best, {self.me, *answers})
 
 
 def answers_at_once(self: Replica, now: int, epoch: int, found: ReplicaSet) -> None:
@@ -186,20 +229,80 @@
     return self.agreed is not None and now < self.agreed[1] + self.timing.heard_us
 
 
+def whatever_is_there(delta: BodyDelta, held: bytes) -> bytes | None:
+    """Chunks that are not there are passed over."""
+    known = dict(deltas.chunked(held)) | {name_of(chunk): chunk for chunk in delta.chunks}
+    return b"".join(known.get(name, b"") for name in listed(delta.manifest))
+
+
 def leads_on(self: Replica, now: int, heir: str, why: str) -> None:
     work = self.primary_work
     REAL_OVER(self, now, heir, why)
     self.primary_work = work
 
 
+def any_body(held: ControlState, order: messages.Replace) -> Result[ControlState, Fault]:
+    """What is not above the version held changes nothing, whatever its body."""
+    return Success(held) if order.version <= held.version else state.replaced(held, order)
+
+
+def any_body_is_acknowledged(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    after = any_body(self.state, order)
+    self.state = after.value_or(self.state)
+    return orders.Decision(Success(b""), order.version > self.held.version)
+
+
+def refuses_at_once(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    decision = REAL_ORDERS(self, order)
+    return replace(decision, relies_on_write=False) if isinstance(decision.outcome, Failure) else decision
+
+
+def acknowledges_at_once(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    """What is in the batch already."""
+    known = self.bodies.get(order.version) == orders.digest(order.body)
+    decision = REAL_ORDERS(self, order)
+    return replace(decision, relies_on_write=False) if known else decision
+
+
+def overtaken_are_forgotten(self: orders.OrderBatch, order: messages.Replace) -> orders.Decision:
+    decision = REAL_ORDERS(self, order)
+    self.bodies = {self.held.version: self.bodies[self.held.version]}
+    return decision
+
+
+def last_batch_is_forgotten(self: orders.OrderBatch, held: ControlState, before: Any) -> None:
+    REAL_BATCH(self, held, None)
+
+
+def every_number_counts(self: orders.OrderBatch, held: ControlState, before: Any) -> None:
+    REAL_BATCH(self, held, orders.Numbers(0, before.bodies if before else {}))
+
+
+def refuses_by_what_it_holds(self: Primary, now: int, asked: messages.Submitted) -> list[messages.Output]:
+    """By a body that may not be committed."""
+    if isinstance(asked.order, messages.Replace):
+        found = state.ordered(self.memory.state, asked.order)
+        if isinstance(found, Failure):
+            return [messages.Completed(asked.number, Failure(found.failure()))]
+    return REAL_SUBMIT(self, now, asked)
+
+
+def acknowledges_what_it_holds(self: Primary, now: int, asked: messages.Submitted) -> list[messages.Output]:
+    order, held = asked.order, self.memory.state
+    known = (held.version, held.configuration)
+    if isinstance(order, messages.Replace) and (order.version, order.body) == known:
+        return [messages.Completed(asked.number, Success(b""))]
+    return REAL_SUBMIT(self, now, asked)
+
+
 PLANTED: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "told before it is synced": ((durable_state.DurableState, "tell", told_at_once),),
     "own copy counts before it is synced": ((reconfiguration.Reconfiguration, "whole", own_copy_at_once),),
     "a refused save counts as synced": ((durable_state.DurableState, "saved", refused_is_synced),),
     "acknowledged with one copy": ((Primary, "settled", one_copy_is_enough),),
-    "a record without a majority": ((reconfiguration, "enough", one_is_enough),),
+    "a record without a majority": ((reconfiguration, "has_quorum", one_is_enough),),
     "a copy named before it is whole": ((Primary, "propose", named_before_taught),),
-    "elected without a majority": ((election, "enough", one_is_enough),),
+    "elected without a majority": ((election, "has_quorum", one_is_enough),),
     "a copy stands that the record does not name": ((election.Candidate, "stands", stands_unnamed),),
     "an empty disk votes": ((Replica, "__init__", remembers_nothing),),
     "an empty disk is a copy": ((durable_state.DurableState, "take", recalls_a_copy),),
@@ -230,7 +333,30 @@
         (progress.ProgressTracker, "answers", lambda self, now, ip: True),
     ),
     "in force without the newest": ((Replica, "in_force", in_force_unseen),),
+    "voters changed without the previous ones": (
+        (reconfiguration.Reconfiguration, "propose", without_the_previous),
+    ),
+    "a successor beside the one that it replaces": (
+        (reconfiguration, "next_members", one_more_then_one_less),
+    ),
+    "the lost keep their seats": (
+        (reconfiguration, "next_members", lambda roster, size: list(roster.members)),
+    ),
+    "a leaving machine does not wait": ((Replica, "needed", lambda self, now: False),),
+    "a delta is put onto whatever is held": ((witness, "body_of", whatever_is_there),),
+    "a late copy is waited for": ((Primary, "mark_late", lambda self, now: None),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
+    "a number has any body": ((orders.OrderBatch, "replace", any_body_is_acknowledged),),
+    "refused before the other is committed": ((orders.OrderBatch, "replace", refuses_at_once),),
+    "sent twice, acknowledged before it is committed": (
+        (orders.OrderBatch, "replace", acknowledges_at_once),
+    ),
+    "what a batch overtook is forgotten": ((orders.OrderBatch, "replace", overtaken_are_forgotten),),
+    "what the last batch took is forgotten": ((orders.OrderBatch, "__init__", last_batch_is_forgotten),),
+    "old numbers are refused too": ((orders.OrderBatch, "__init__", every_number_counts),),
+    "refused by what is not committed": ((Primary, "submit", refuses_by_what_it_holds),),
+    "an evacuation that waited through a stop": ((Replica, "stood_still", lambda self, now: False),),
+    "acknowledged by what is not committed": ((Primary, "submit", acknowledges_what_it_holds),),
 }
 
 
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -14,7 +14,7 @@
 from vetchusher.discovery.reader import Reader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import evacuation_rows
-from vetchusher.distribution.snapshot import SnapshotStore, whole
+from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import NEVER, Source, vector_of
 from vetchusher.distribution.subscriber import Send, Subscriber
 from vetchusher.events import Event, LogEvent
@@ -27,6 +27,7 @@
 from . import operator_api
 from .applying import Applying
 from .following import Following
+from .lives import Lives
 from .paths import Channel, Paths
 from .persistence import Persister
 from .platform import Platform
@@ -40,10 +41,26 @@
 PASSED_READING_US = 1_000_000  # since it was passed on: what came of it is given out no later
 NAMED_US = 1_000_000  # since ingresses were looked up: the same of the directory's answers
 LATE_SEND_US = 500_000  # since it was decided: what was not sent by then is not sent at all
+OVERTAKEN_US = 900_000  # since it came: an order that bears no number is passed on no later
 MOST_WATCHERS = 2048
+ASK_AGAIN_US = 300_000  # told to whoever asked while no primary answered
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
-LAST_VOTE_S = 0.5  # for others to take over when this one ends
+LAST_VOTE_S = 0.5  # for a learner, if there is one, to take the seat of a machine that ends
 SHELF_PAUSE_S = 0.25  # between two writes of what has been told
+SHELF_BACK_OFF_S = 1.0  # after one that the disk refused
+
+
+def passed_on(done: wire.OrderDone) -> Fault:
+    """What the primary said of an order.
+
+    Danger: a kind of a newer release may be no refusal: whoever asked is to come back.
+    """
+    kind = Kind(done.kind) if done.kind in set(Kind) else Kind.NOT_SETTLED
+    return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
+
+
+def evacuation_of(asked: wire.Evacuate) -> control.SetEvacuation:
+    return control.SetEvacuation(asked.zone, asked.on, asked.after if asked.HasField("after") else None)
 
 
 class ControlNode:
@@ -90,12 +107,13 @@
         self.telling = Publisher(self.sources)
         self.applying = Applying(loop, self.reading, self.tell_state, note)
         self.configuration: Configuration | None = None
+        self.lives = Lives()
         self.watchers: dict[str, Channel] = {}  # by ip: to whom a grown vector is told unasked
         self.orders: dict[int, asyncio.Future[Result[bytes, Fault]]] = {}
         self.next_order = 1
         self.duty: asyncio.Task[None] | None = None
         self.holder: Holder | None = None
-        self.resting: Holder | None = None  # of the epoch whose lease ran out
+        self.resting: Holder | None = None  # of the epoch whose lease ran out last: it may be regained
         self.platform = Platform(node.cloud_api)
         self.following = Following(self.paths, self.follower, self)
         self.shelf = shelf
@@ -151,6 +169,8 @@
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
+        if self.overtaken(frame, channel):
+            return
         if kind == "control":
             heard = control.Received(frame.sender, frame.zone, frame.control)
             if frame.control.WhichOneof("kind") in LETTERS:
@@ -182,6 +202,15 @@
         elif kind == "heartbeat_reply":
             self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
 
+    def overtaken(self, frame: wire.Frame, channel: Channel) -> bool:
+        """Whether a later life of the process that wrote this has been heard.
+
+        Danger: it speaks of a disk that may be lost since, and of an ingress that has ended.
+        """
+        kind = frame.WhichOneof("body")
+        life = {"control": frame.control.life, "heartbeat": frame.heartbeat.life}.get(kind or "", 0)
+        return not self.lives.current(kind or "", frame.sender, life, channel.number)
+
     def heard(self) -> wire.HeartbeatReply:
         now = self.now()
         return wire.HeartbeatReply(
@@ -255,7 +284,14 @@
         self.note(LogEvent(Event.ORDER_REFUSED, told))
 
     async def decide(self, order: control.Order, passed: wire.OrderAsked) -> operator_api.Backed:
-        """Settle it here where this is the primary; else pass it on once."""
+        """Settle it here where this is the primary; else pass it on once.
+
+        Danger: evacuations have no version.  One that waited at the door while this process stood still may
+        be older than its end, which others have acknowledged since.
+        """
+        if isinstance(order, control.SetEvacuation) and self.member.stood_still(self.now()):
+            waited = Failure(Fault(Kind.NOT_SETTLED, "it may have waited here", ASK_AGAIN_US))
+            return operator_api.Backed(waited, lambda: True)
         if self.member.holds(self.now()):
             return await self.decide_here(order)
         passed_at = self.now()
@@ -270,15 +306,32 @@
     async def pass_on(self, passed: wire.OrderAsked) -> Result[bytes, Fault]:
         primary = self.member.primary
         if not primary or primary == self.node.ip_address:
-            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", 300_000))
-        answer = await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
+        answer = await self.ask_primary(primary, passed)
         if answer is None or answer.WhichOneof("body") != "done":
-            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", 300_000))
+            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", ASK_AGAIN_US))
         if answer.done.kind:
-            kind = Kind(answer.done.kind) if answer.done.kind in set(Kind) else Kind.NOT_SETTLED
-            return Failure(Fault(kind, answer.done.text, 300_000))
+            return Failure(passed_on(answer.done))
         return Success(answer.done.body)
 
+    async def ask_primary(self, primary: str, passed: wire.OrderAsked) -> wire.Frame | None:
+        """Its answer to an order passed on; an evacuation goes with the number of the zone's last order.
+
+        Danger: its caller may have given the same order elsewhere by now, and others since.  Held up here, it
+        is dropped; on its way, refused by the number.
+        """
+        began = self.now()
+        if passed.HasField("evacuate"):
+            asked = wire.EvacuationNumberAsked(zone=passed.evacuate.zone)
+            frame = wire.Frame(order=wire.OrderAsked(evacuation_number=asked))
+            told = await self.paths.ask(primary, frame, PASS_ON_S)
+            if told is None or told.WhichOneof("body") != "done" or told.done.kind:
+                return told
+            if self.now() >= began + OVERTAKEN_US:
+                return None
+            passed.evacuate.after = told.done.number
+        return await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+
     async def submit(self, order: control.Order) -> Result[bytes, Fault]:
         number, self.next_order = self.next_order, self.next_order + 1
         future: asyncio.Future[Result[bytes, Fault]] = self.loop.create_future()
@@ -297,7 +350,12 @@
 
     async def settle_for(self, frame: wire.Frame, channel: Channel) -> None:
         """An order that another core machine passed on: settled here or not at all."""
-        outcome = await self.settle_passed(frame.order)
+        asked = frame.order
+        if asked.HasField("evacuation_number") and self.member.holds(self.now()):
+            number = self.member.last_evacuation(asked.evacuation_number.zone)
+            channel.reply(frame, wire.Frame(done=wire.OrderDone(number=number)))
+            return
+        outcome = await self.settle_passed(asked)
         done = wire.OrderDone()
         match outcome:
             case Success(body):
@@ -320,8 +378,8 @@
             case "retrieve":
                 return (await self.decide_here(control.Retrieve())).leaving()
             case "evacuate":
-                order_ = control.SetEvacuation(asked.evacuate.zone, asked.evacuate.on)
-                return acknowledged(await self.decide_here(order_), b"").leaving()
+                evacuation = evacuation_of(asked.evacuate)
+                return acknowledged(await self.decide_here(evacuation), b"").leaving()
         return Failure(Fault(Kind.NOT_SETTLED, "no such order"))
 
     # -- time -----------------------------------------------------------------------------------
@@ -360,13 +418,14 @@
     async def put_away(self, shelf: SnapshotStore, due: list[Source]) -> None:
         """Keep what has been told, off the loop; a disk that refuses is tried again after a while."""
         for ledger in due:
-            news = whole(ledger)
+            news = ledger.since(self.shelved.get(ledger.source, NEVER))
             if news is None:
                 continue
             outcome = await self.loop.run_in_executor(self.saving.thread, shelf.save, news)
             if isinstance(outcome, Failure):
                 self.note(LogEvent(Event.STORE_FAILED, {"why": outcome.failure().text}))
-                await asyncio.sleep(SHELF_PAUSE_S)
+                self.shelved.pop(ledger.source, None)  # all of it, when it is tried again
+                await asyncio.sleep(SHELF_BACK_OFF_S)
                 return
             self.shelved[ledger.source] = (news.stamp.epoch, news.stamp.seq)
         await asyncio.sleep(SHELF_PAUSE_S)
@@ -383,8 +442,8 @@
         self.duty = self.loop.create_task(self.read_list(epoch))
 
     def holder_of(self, epoch: int, now: int) -> Holder:
-        """Danger: a lease may be regained within its epoch; a holder made anew under the same name would be
-        taken for one that knows what has passed."""
+        """Danger: ingresses know holders by the epoch.  One that begins anew within it would be taken for the
+        one that has heard of all that passed."""
         if self.resting is not None and self.resting.life == epoch:
             return self.resting
         bounds = self.node.bounds
@@ -394,9 +453,10 @@
     def tell_ingresses(self) -> None:
         """Who may be serving, as rows: by how many a quota is divided, and who knows whom."""
         rows = self.presence.rows(self.now())
-        if rows != self.directory.values():
-            if self.directory.publish(next_stamp(self.directory, self.member.epoch), rows):
-                self.tell_watchers()
+        if rows == self.directory.values():
+            return
+        if self.directory.publish(next_stamp(self.directory, self.member.epoch), rows):
+            self.tell_watchers()
 
     def end_duties(self) -> None:
         self.resting, self.holder = self.holder, None
@@ -456,19 +516,31 @@
 
     def reseed(self, node: NodeSettings) -> None:
         self.node = node
-        self.follower.reseed([host for host, _ in node.seed_nodes])
+        seeds = [host for host, _ in node.seed_nodes]
+        self.member.reseed(seeds)
+        self.follower.reseed(seeds)
 
     def leave(self) -> None:
         """Another is to lead, or to hold the copy, at once."""
         self.feed(control.Retire())
 
+    def may_not_end(self, deadline_s: float, seat_end_s: float) -> bool:
+        """Whether this machine, about to end, has something that another has to take over first.
+
+        :param seat_end_s: on the loop's clock: until when it waits for its seat alone to be taken
+        """
+        at = self.loop.time()
+        if self.member.needed(self.now()):
+            return at < deadline_s
+        return self.member.seated and at < seat_end_s
+
     async def close(self, deadline_s: float) -> None:
         """Votes on until others have taken over, for a while.
 
         :param deadline_s: on the loop's clock
         """
-        end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
-        while self.member.needed and self.loop.time() < end:
+        seat_end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
+        while self.may_not_end(deadline_s, seat_end):
             await asyncio.sleep(TICK_S)
         await self.following.close()
         if self.duty is not None:
--- a/vetchusher/node/operator_api.py
+++ b/vetchusher/node/operator_api.py
@@ -24,6 +24,8 @@
 from vetchusher.net.door import ClientLink, Door
 from vetchusher.net.plain import seconds_text
 
+from .callers import hung_up, waited_s
+
 log = logging.getLogger("vetchusher")
 
 PLACES = 256  # connections at once at a door
@@ -228,6 +230,17 @@
     return response
 
 
+def overtaken() -> web.Response:
+    response = written(Failure(Fault(Kind.NOT_SETTLED, "this machine stood still")))
+    response.force_close()
+    return response
+
+
+def patience_s(parts: list[bytes]) -> float:
+    """Seconds for which a caller waits for the answer, from the last byte of its body."""
+    return min(ANSWER_S + sum(map(len, parts)) * ANSWER_BYTE_S, SETTLE_S)
+
+
 # -- the doors -----------------------------------------------------------------------------------
 
 
@@ -291,9 +304,9 @@
             with contextlib.suppress(ConnectionError):
                 # Danger: who asks for long answers and reads none would hold them all.
                 async with asyncio.timeout(READ_S):
-                    if isinstance(reply, Reply) and isinstance(response.body, bytes):
-                        if len(response.body) > PIECE:
-                            return await send_in_pieces(request, link, response, reply.backed.lasts)
+                    long = isinstance(response.body, bytes) and len(response.body) > PIECE
+                    if isinstance(reply, Reply) and long:
+                        return await send_in_pieces(request, link, response, reply.backed.lasts)
                     await response.prepare(request)
                     await response.write_eof()
                     await request.writer.drain()
@@ -323,7 +336,12 @@
             problem = await self.body(request, link, way, parts)
             if problem is not None:
                 return problem
-            return await self.settled(way, Asked(match.groupdict(), dict(request.query), b"".join(parts)))
+            waited = waited_s(link.wire)
+            if hung_up(link.wire) or waited >= patience_s(parts):
+                # Danger: its caller has given the same order to another machine, and others since.
+                return overtaken()
+            asked = Asked(match.groupdict(), dict(request.query), b"".join(parts))
+            return await self.settled(way, asked, patience_s(parts) - waited)
         finally:
             self.held -= sum(map(len, parts))
 
@@ -356,18 +374,18 @@
             return refused(400, " ".join(str(err).split())[:MOST_NAME])
         return None
 
-    async def settled(self, way: Way, asked: Asked) -> web.Response | Reply:
+    async def settled(self, way: Way, asked: Asked, left_s: float) -> web.Response | Reply:
+        """:param left_s: for which the caller still waits"""
         read = way.read(asked)
         if isinstance(read, Failure):
             return written(read)
         call = read.unwrap()
-        patience_s = min(ANSWER_S + len(asked.body) * ANSWER_BYTE_S, SETTLE_S)
         outcome: Result[Answer, Fault] | Backed
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(left_s):
                 outcome = await self.settle(call)
         except TimeoutError:
-            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {patience_s:.1f} s"))
+            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {left_s:.1f} s"))
         return Reply(call, outcome if isinstance(outcome, Backed) else Backed(outcome, lambda: True))
 
 
