--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -453,10 +453,11 @@
     def tell_ingresses(self) -> None:
         """Who may be serving, as rows: by how many a quota is divided, and who knows whom."""
         rows = self.presence.rows(self.now())
-        if rows == self.directory.values():
-            return
-        if self.directory.publish(next_stamp(self.directory, self.member.epoch), rows):
-            self.tell_watchers()
+        if rows != self.directory.values():
+            epoch, seq = self.directory.stamp
+            stamp = (self.member.epoch, seq + 1 if epoch == self.member.epoch else 1)
+            if self.directory.publish(stamp, rows):
+                self.tell_watchers()
 
     def end_duties(self) -> None:
         self.resting, self.holder = self.holder, None
@@ -470,6 +471,9 @@
     async def read_list(self, epoch: int) -> None:
         """Read the platform's list, and tell what it says, for as long as the epoch is held."""
         reader = Reader(self.node.zones, self.discovery.values())
+        # Danger: a regained lease is of the same epoch; numbers that began again would be taken for old.
+        published, seq = self.discovery.stamp
+        seq = seq if published == epoch else 0
         told, failed = None, False
         while self.on_duty(epoch):
             began = self.loop.time()
@@ -480,9 +484,8 @@
                     serving = [(one.node, one.region) for one in self.presence.serving(self.now())]
                     rows: Mapping[str, bytes] = reader.read(entries, serving)
                     if rows != told:
-                        told = rows
-                        _, seq = stamp = next_stamp(self.discovery, epoch)
-                        self.discovery.publish(stamp, rows)
+                        seq, told = seq + 1, rows
+                        self.discovery.publish((epoch, seq), rows)
                         self.note(
                             LogEvent(Event.LIST_READ, {"epoch": epoch, "seq": seq, "servers": len(rows)})
                         )
@@ -552,16 +555,6 @@
         self.reading.close()
 
 
-def next_stamp(source: Source, epoch: int) -> tuple[int, int]:
-    """Under which the primary of that epoch tells more.
-
-    Danger: a lease may run out and be regained within its epoch; numbers that began anew then would be below
-    those told before, and nothing more would be taken until they had passed them.
-    """
-    told_epoch, seq = source.stamp
-    return epoch, seq + 1 if told_epoch == epoch else 1
-
-
 def acknowledged(decided: operator_api.Backed, answer: object) -> operator_api.Backed:
     """A change that was settled: on enough disks it stays acknowledged, whoever leads by now."""
     if isinstance(decided.outcome, Success):
