--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -4,6 +4,7 @@
 
 from testtools import TestCase
 
+from vetchusher.distribution.wire_pb2 import Push
 from vetchusher.emulator.quota.judge import SECOND, Demand
 from vetchusher.emulator.quota.mutations import PLANTED
 from vetchusher.emulator.quota.scenes import drawn, drawn_large
@@ -211,6 +212,42 @@
         self.assertFalse(tally.standing(5_000 * MS) is None or tally.stood)
 
 
+class CountedSources(dict):
+    """Counts how often all names of ingresses are looked at."""
+
+    looks = 0
+
+    def keys(self):
+        self.looks += 1
+        return super().keys()
+
+
+class CostOfAPush(TestCase):
+    def test_ingresses_are_not_counted_anew_for_each_tenant(self):
+        tenants = {f"t{n}": tenant(100.0) for n in range(50)}
+        tally, holder = Tally("e0", 1), Holder(1, 0)
+        for side in (tally, holder):
+            side.configure(0, tenants)
+        holder.fleet(0, {"e0": 0})
+        tally.fleet(0, 1, True)
+        tell(tally, holder, 1 * MS)
+        for name in tenants:
+            tally.admit(10 * MS, name)
+        holder.sources = CountedSources(holder.sources)
+        tell(tally, holder, 20 * MS)
+        self.assertEqual(50, len(holder.sources["e0"][0].given))
+        self.assertTrue(holder.sources.looks <= 2, holder.sources.looks)
+
+    def test_ingresses_are_those_named_and_those_that_pushed(self):
+        (tally,), holder = in_touch()
+        holder.fleet(300 * MS, {"e0": 0, "e1": 0})
+        self.assertEqual(2, holder.ingresses)
+        holder.push(310 * MS, Push(node="e7", life=1, number=1))
+        self.assertEqual(3, holder.ingresses)
+        holder.fleet(70_000 * MS, {"e1": 0})
+        self.assertEqual(1, holder.ingresses)
+
+
 class Parts(TestCase):
     def test_before_any_total_only_those_whom_the_news_names_pass_and_only_their_part(self):
         #  after a loss of power, no holder
--- a/vetchusher/limits/totals.py
+++ b/vetchusher/limits/totals.py
@@ -125,6 +125,7 @@
         self.pools: dict[str, Pool] = {}
         self.sources: dict[str, list[Source]] = {}  # by node, the newest life last
         self.nodes: set[str] = set()
+        self.ingresses = 1  # that may be serving: those of `nodes` and `sources` together, at least one
         self.whole = False
         self.silent = 0
         self.looked_at = NEVER
@@ -162,11 +163,12 @@
             if now - self.sources[node][-1].heard_at > GONE_US:
                 for source in self.sources.pop(node):
                     self.forget(now, source)
+        self.count_ingresses()
         self.look(now)
 
-    @property
-    def ingresses(self) -> int:
-        return max(1, len(self.nodes | self.sources.keys()))
+    def count_ingresses(self) -> None:
+        """After each change of `nodes` or `sources`: a push reads the count several times for each tenant."""
+        self.ingresses = max(1, len(self.nodes | self.sources.keys()))
 
     def standing(self) -> dict[str, object] | None:
         """What the bound stands on, where that has changed: figures for the log.
@@ -272,7 +274,10 @@
         return answer
 
     def source_of(self, now: int, push: Push) -> Source:
-        lives = self.sources.setdefault(push.node, [])
+        if push.node not in self.sources:
+            self.sources[push.node] = []
+            self.count_ingresses()
+        lives = self.sources[push.node]
         source = next((s for s in lives if s.life == push.life), None)
         if source is None:
             source = Source(push.node, push.life, now)
