--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -15,7 +15,7 @@
     """`base + slope * size`, by least squares.
 
     :param error: largest distance of a measured value from the line, as a part of the largest value
-    :param exponent: of the part above the line's base, between the two largest sizes; below linear where 0 to 1
+    :param exponent: of what grows above the smallest size
     """
 
     base: float
@@ -38,7 +38,7 @@
 
 
 def exponent_of(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The exponent of what grows: the values' steps from the smallest size, by the logarithms of the sizes'."""
+    """Of the steps from the smallest size: the slope of their logarithms by the sizes'."""
     grown = [(s - sizes[0], v - values[0]) for s, v in zip(sizes, values, strict=True)][1:]
     grown = [(s, v) for s, v in grown if v > 0]
     if len(grown) < 2:
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -1,9 +1,9 @@
-"""Hollow processes: control members and ingresses as they are put together in service, many in one process and
-in virtual time, over a network that counts what each sends.
+"""Hollow processes: control members and ingresses as they are put together in service, many in one process
+and in virtual time, over a network that counts what each sends.
 
-Control members keep their state in real files.  Sockets, clients and the platform's HTTP are stood in for; what
-lies above them (`ControlNode`, `EdgeNode`, `node.paths`) is what `run` runs.  Virtual time leaves processor time
-out, so the processor time of each process is measured beside it, as the thread's own.
+Control members keep their state in real files.  Sockets, clients and the platform's HTTP are stood in for;
+what lies above them (`ControlNode`, `EdgeNode`, `node.paths`) is what `run` runs.  Virtual time leaves
+processor time out; that of each process is measured beside it, as the thread's own.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import random
 import time
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, cast
@@ -174,21 +174,25 @@
     traffic: Traffic
     cpu: dict[str, tuple[int, int, int]]
 
-    def messages(self, ip: str, way: str = "", kind: str = "", link: str = "") -> float:
-        return self._sum(self.traffic.messages, ip, way, kind, link)
+    def messages(self, ips: Collection[str], way: str = "", kind: str = "", link: str = "") -> float:
+        """A second, mean of these processes, sent and received, as far as no way, kind or link is named."""
+        return self._mean(self.traffic.messages, ips, way, kind, link)
 
-    def bytes(self, ip: str, way: str = "", kind: str = "", link: str = "") -> float:
-        """A second, as all further figures here."""
-        return self._sum(self.traffic.bytes, ip, way, kind, link)
+    def bytes(self, ips: Collection[str], way: str = "", kind: str = "", link: str = "") -> float:
+        """The same, of payload."""
+        return self._mean(self.traffic.bytes, ips, way, kind, link)
 
-    def _sum(
-        self, counts: Counter[tuple[str, str, str, str]], ip: str, way: str, kind: str, link: str
+    def _mean(
+        self, counts: Counter[tuple[str, str, str, str]], ips: Collection[str], way: str, kind: str, link: str
     ) -> float:
-        total = 0
-        for (one, direction, what, over), count in counts.items():
-            if one == ip and way in ("", direction) and kind in ("", what) and link in ("", over):
+        total, some = 0, set(ips)
+        for (ip, direction, what, over), count in counts.items():
+            if ip in some and way in ("", direction) and kind in ("", what) and link in ("", over):
                 total += count
-        return total / self.seconds
+        return total / self.seconds / max(1, len(some))
+
+    def kinds(self) -> list[str]:
+        return sorted({kind for _, _, kind, _ in self.traffic.messages})
 
     def loop_share(self, ip: str) -> float:
         return self.cpu[ip][0] / 1e9 / self.seconds
@@ -314,7 +318,7 @@
         gc.freeze()
 
     def replace(self) -> int:
-        """A new configuration, to the primary; the moment (us) of its acknowledgement, a turn's length late."""
+        """A new configuration, to the primary; the moment (us) of its acknowledgement."""
         self.version += 1
         size = self.size
         body = made.configuration(self.version, size.routes, size.services, size.tenants)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -2,16 +2,17 @@
 
 import random
 from dataclasses import replace
+from unittest.mock import patch
 
 from returns.result import Failure
 from testtools import TestCase
 
 from vetchusher.discovery.server import Server
 from vetchusher.kinds import Kind
-from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge
+from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge, patches
 from vetchusher.routing.claims import CLAIM, Claim, seen_of, what_next
 from vetchusher.routing.headers import passed_on
-from vetchusher.routing.patches import Patches, workers
+from vetchusher.routing.patches import Patches, rank, workers
 from vetchusher.routing.request import Answer, Cancel, Refuse, Send, WakeAt
 from vetchusher.routing.routes import allowed_regions
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
@@ -458,9 +459,9 @@
         zones = {f"edge-{n}": self.ZONES[n % 3] for n in ingresses}
         found = {}
         for me in zones:
-            patches = Patches(me)
-            patches.ingresses(zones)
-            found[me] = {s for s in servers if patches.holds(f"i-{s}", self.ZONES[s % 3], len(servers))}
+            mine = Patches(me)
+            mine.ingresses(zones)
+            found[me] = {s for s in servers if mine.holds(f"i-{s}", self.ZONES[s % 3], len(servers))}
         return found
 
     def test_all_servers_are_worked_by_as_many_and_one_change_moves_little(self):
@@ -479,6 +480,40 @@
                 self.assertTrue(moved <= some, (ingresses, servers, moved, some))
         self.assertEqual(set(range(8)), self.held(range(3), range(8))["edge-0"])  # few: all
 
+    def test_what_is_kept_as_ingresses_come_and_go_is_what_would_be_reckoned_anew(self):
+        rng = random.Random(7)
+        servers = [(f"i-{n}", self.ZONES[n % 3]) for n in range(60)]
+        zones = {f"edge-{n}": self.ZONES[n % 3] for n in range(40)}
+        kept = Patches("edge-0")
+        for _ in range(120):
+            name = f"edge-{rng.randrange(1, 60)}"
+            if name in zones and rng.random() < 0.6:
+                del zones[name]
+            else:
+                zones[name] = rng.choice(self.ZONES)  # it may be another's now
+            if rng.random() < 0.05:
+                zones["edge-0"] = rng.choice(self.ZONES)
+            kept.ingresses(zones)
+            anew = Patches("edge-0")
+            anew.ingresses(zones)
+            for instance, zone in servers:
+                self.assertEqual(anew.holds(instance, zone, 60), kept.holds(instance, zone, 60))
+                self.assertEqual(anew.places[instance].before, kept.places[instance].before)
+
+    def test_one_ingress_more_ranks_that_one_only(self):
+        zones = {f"edge-{n}": "gulf-a" for n in range(100)}
+        kept, ranked = Patches("edge-0"), []
+        kept.ingresses(zones)
+        for n in range(50):
+            kept.holds(f"i-{n}", "gulf-a", 50)
+        with patch.object(
+            patches, "rank", lambda name, instance: ranked.append(name) or rank(name, instance)
+        ):
+            kept.ingresses(zones | {"edge-new": "gulf-a"})
+            for n in range(50):
+                kept.holds(f"i-{n}", "gulf-a", 50)
+        self.assertEqual(["edge-new"] * 50, ranked)
+
     def test_the_own_zone_first_and_beyond_the_patch_where_that_does_badly(self):
         zones = {f"edge-{n}": ("gulf-a", "gulf-b")[n % 2] for n in range(30)}
         servers = [server(f"s{n}", ("gulf-a", "gulf-b")[n % 2]) for n in range(40)]
--- a/vetchusher/routing/patches.py
+++ b/vetchusher/routing/patches.py
@@ -10,13 +10,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from hashlib import blake2b
 from math import ceil
 
 PATCH = 8  # servers that an ingress works, on average: it can lose a few of them and still choose
 SPARE = 2  # and so many times what it would need for its own part of the work at least
 
+MOST_CHANGED = 0.25  # of the ingresses: where more change at once, all is reckoned anew when it is needed
+
 
 def workers(ingresses: int, servers: int) -> int:
     """How many ingresses work each server, where so many share them: patches hold PATCH servers on average,
@@ -31,8 +34,22 @@
     return blake2b(f"{ingress}\n{instance}".encode(), digest_size=8, person=b"patch").digest()
 
 
+@dataclass(slots=True)
+class Place:
+    """Where this ingress stands among those that share one server.
+
+    :param zone: the server's
+    :param rank: of this ingress for that server
+    :param before: how many ingresses come before it
+    """
+
+    zone: str
+    rank: bytes
+    before: int = 0
+
+
 class Patches:
-    """Owner of what was reckoned, by instance; gone with the instance or with a change of the ingresses.
+    """Owner of what was reckoned, by instance; gone with the instance, or anew when many ingresses change.
 
     :param me: node name of this ingress
     """
@@ -40,19 +57,32 @@
     def __init__(self, me: str) -> None:
         self.me = me
         self.zones: Mapping[str, str] = {}  # by node name: its zone; of the ingresses that share
-        self.before: dict[str, int] = {}  # by instance: how many ingresses come before this one
+        self.places: dict[str, Place] = {}  # by instance
 
     def ingresses(self, zones: Mapping[str, str]) -> bool:
         """Those of this ingress's region that may be serving, itself among them; whether that is news."""
         if zones == self.zones:
             return False
-        self.zones = dict(zones)
-        self.before = {}
+        old, self.zones = self.zones, dict(zones)
+        changed = [name for name in old.keys() | zones.keys() if old.get(name) != zones.get(name)]
+        if self.me in changed or len(changed) > len(zones) * MOST_CHANGED:
+            self.places = {}
+        else:
+            self._change(old, changed)
         return True
 
+    def _change(self, old: Mapping[str, str], changed: Iterable[str]) -> None:
+        """Danger: to rank all ingresses anew for each server takes half a second of 160 and 2,600."""
+        for instance, place in self.places.items():
+            for name in changed:
+                if name in old:
+                    place.before -= self._is_before(name, old, instance, place)
+                if name in self.zones:
+                    place.before += self._is_before(name, self.zones, instance, place)
+
     def keep(self, instances: Mapping[str, object]) -> None:
         """Forget the servers that are gone."""
-        self.before = {name: at for name, at in self.before.items() if name in instances}
+        self.places = {name: place for name, place in self.places.items() if name in instances}
 
     def holds(self, instance: str, zone: str, servers: int) -> bool:
         """Whether this ingress works that server, one of so many of its service and region.
@@ -62,12 +92,18 @@
         number = workers(len(self.zones), servers)
         if self.me not in self.zones or number >= len(self.zones):
             return True
-        at = self.before.get(instance)
-        if at is None:
-            at = self.before[instance] = self._before(instance, zone)
-        return at < number
+        place = self.places.get(instance)
+        if place is None:
+            place = self.places[instance] = self._place(instance, zone)
+        return place.before < number
 
-    def _before(self, instance: str, zone: str) -> int:
-        mine = (self.zones[self.me] == zone, rank(self.me, instance))
+    def _place(self, instance: str, zone: str) -> Place:
+        place = Place(zone, rank(self.me, instance))
         others = (name for name in self.zones if name != self.me)
-        return sum(1 for name in others if (self.zones[name] == zone, rank(name, instance)) > mine)
+        place.before = sum(self._is_before(name, self.zones, instance, place) for name in others)
+        return place
+
+    def _is_before(self, name: str, zones: Mapping[str, str], instance: str, place: Place) -> bool:
+        """Those of the server's own zone come first, then those of higher rank."""
+        mine = (self.zones[self.me] == place.zone, place.rank)
+        return (zones[name] == place.zone, rank(name, instance)) > mine
