--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,6 +1,6 @@
 """Tables of the slopes in `docs/CAPACITY.md`.
 
-    python -m benchmarks.capacity measure fleet-ingresses --keep benchmarks/results/capacity-fleet-ingresses.md
+    python -m benchmarks.capacity measure fleet-ingresses --keep FILE
     python -m benchmarks.capacity every --only edge --folder benchmarks/results
     python -m benchmarks.capacity whole --keep FILE
 
@@ -17,7 +17,7 @@
 
 import fire  # type: ignore[import-untyped]
 
-from benchmarks.capacity.drivers import DRIVERS, Figures, control_alone, edge_alone
+from benchmarks.capacity.drivers import DRIVERS, Figures, control_alone, edge_alone, joining
 from benchmarks.capacity.fit import fit
 
 LEAST = 1e-9
@@ -77,6 +77,17 @@
                 print(f"\n{name}", flush=True)
                 self.measure(name, keep=f"{folder}/capacity-{name}.md" if folder else "")
 
+    def joining(self, keep: str = "") -> None:
+        """Whether machines beyond the three seeds become members, by regions (4 zones each)."""
+        rows = []
+        for regions in (1, 2, 4):
+            for members in (5, 7):
+                found = [joining(regions, members, seed) for seed in (1, 2, 3)]
+                cells = [", ".join(str(count) for count, _ in found), ", ".join(f"{r:.1f}" for _, r in found)]
+                rows.append([str(regions), str(members), *cells])
+        head = ["regions", "machines", "members after 33 s, by seed", "records a second after"]
+        told("joining", "python -m benchmarks.capacity joining", table(head, rows), keep)
+
     def whole(self, keep: str = "") -> None:
         """An ingress, and a control member, with all of the target's state."""
         edge, control = edge_alone(1_700, 130, 61_000, 2_600, 640), control_alone(1_700, 130, 61_000)
--- a/benchmarks/capacity/drivers.py
+++ b/benchmarks/capacity/drivers.py
@@ -116,6 +116,22 @@
     return found
 
 
+def joining(regions: int, members: int, seed: int) -> tuple[int, float]:
+    """Three seeds and further machines that ask to join, for 33 s: how many are members then, and how many
+    records of who holds copies are proposed a second in the 5 s after."""
+    with tempfile.TemporaryDirectory() as folder:
+        size = Size(ingresses=0, members=members, regions=regions)
+        fleet = Fleet(size, Path(folder), seed, seeds=3)
+        try:
+            fleet.members_begin()
+            fleet.run(30 * SECOND)
+            before = fleet.record()
+            fleet.run(5 * SECOND)
+            return len(fleet.record().members), (fleet.record().number - before.number) / 5
+        finally:
+            fleet.close()
+
+
 def by_ingresses(size: int) -> Figures:
     return fleet_at(Size(ingresses=size))
 
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -35,7 +35,6 @@
 from vetchusher.settings.node import Bounds, CloudApi, Listen, NodeSettings
 
 PORT = 7000
-SEEDS = 3
 IN_ZONE, BETWEEN_ZONES, BETWEEN_REGIONS = "in zone", "between zones", "between regions"
 WAYS = {IN_ZONE: (150, 500), BETWEEN_ZONES: (500, 1_500), BETWEEN_REGIONS: (54 * MS, 56 * MS)}
 PAGE_US = 5 * MS  # for a page of the platform's list
@@ -207,8 +206,9 @@
 class Fleet:
     """Owner of the processes, and of the folders of the control members."""
 
-    def __init__(self, size: Size, folder: Path, seed: int = 1) -> None:
-        self.size, self.folder = size, folder
+    def __init__(self, size: Size, folder: Path, seed: int = 1, seeds: int = 0) -> None:
+        """:param seeds: members that the settings name, the others join; 0: all"""
+        self.size, self.folder, self.seeds = size, folder, seeds or size.members
         self.clock = Clockwork(seed)
         self.rng = random.Random(seed)
         self.zones = made.zones_of(size.regions, size.zones_each)
@@ -249,7 +249,7 @@
             process.zone,
             self.zones[process.zone],
             (PORT, PORT),
-            tuple((core.ip, 1) for core in self.cores[:SEEDS]),
+            tuple((core.ip, 1) for core in self.cores[: self.seeds]),
             first_start=True,
             zones=self.zones,
             bounds=BOUNDS,
@@ -299,13 +299,9 @@
         self.clock.run(self.clock.at + us)
 
     def warm_up(self) -> None:
-        """Members begin and agree, the configuration and the list are in force, then the ingresses begin."""
-        gc.disable()
-        for process in self.cores:
-            self.start(process)
-        self.run(3 * SECOND)
-        self.replace()
-        while len(cast(ControlNode, self.cores[0].part).member.members) < self.size.members:
+        """Members agree, the configuration and the list are in force, then the ingresses begin."""
+        self.members_begin()
+        while len(self.record().members) < self.size.members:
             self.run(SECOND)
             if self.clock.at > 60 * SECOND:
                 raise TimeoutError("members did not join")
@@ -317,6 +313,19 @@
         gc.collect()
         gc.freeze()
 
+    def members_begin(self) -> None:
+        gc.disable()
+        for process in self.cores:
+            self.start(process)
+        self.run(3 * SECOND)
+        self.replace()
+
+    def record(self) -> wire.ReplicaSet:
+        """Who holds copies and votes, as the primary has it."""
+        part = self.primary().part
+        assert isinstance(part, ControlNode) and part.member.primary_work is not None
+        return part.member.primary_work.reconfiguration.record
+
     def replace(self) -> int:
         """A new configuration, to the primary; the moment (us) of its acknowledgement."""
         self.version += 1
