--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -12,7 +12,7 @@
 from vetchusher.emulator.quota.world import Scene, Trouble, World
 from vetchusher.limits.tally import ALONE_US, Tally
 from vetchusher.limits.totals import Holder
-from vetchusher.limits.windows import Bounds, Pair, shape_of
+from vetchusher.limits.windows import Bounds, Pair, kept_of, shape_of
 from vetchusher.settings.configuration import Tenant
 
 MS = 1_000
@@ -174,9 +174,10 @@
     def test_all_are_told_unasked_of_a_tenant_of_whom_nothing_passes_without_a_word(self):
         # 86 ingresses could take three each of a store of 30.
         tallies, holder = in_touch(rate=10.0, nodes=86)
-        idle = tallies[-1]
-        holder.pools["t"].level = -15.0
-        tell(tallies[0], holder, 500 * MS)
+        spender, idle = tallies[0], tallies[-1]
+        spender.own["t"].count += 20 + int(holder.pools["t"].level)
+        tell(spender, holder, 500 * MS)
+        self.assertTrue(holder.pools["t"].level <= -15.0, holder.pools["t"].level)
         alarm = holder.alarm(510 * MS)
         idle.alarm(570 * MS, alarm)
         self.assertIsNone(holder.alarm(511 * MS))
@@ -238,6 +239,106 @@
         self.assertEqual(50, len(holder.sources["e0"][0].given))
         self.assertTrue(holder.sources.looks <= 2, holder.sources.looks)
 
+    def test_tenants_that_lost_nothing_are_not_looked_at(self):
+        tenants = {f"t{n}": tenant(100.0) for n in range(1_000)}
+        tally, holder, looks = Tally("e0", 1), Holder(1, 0), []
+        for side in (tally, holder):
+            side.configure(0, tenants)
+        holder.fleet(0, {"e0": 0})
+        tally.fleet(0, 1, True)
+        tell(tally, holder, 1 * MS)
+        tell(tally, holder, 300 * MS)  # the first whole answer: all are looked at once
+        is_tight = holder.is_tight
+        holder.is_tight = lambda now, name, pool: looks.append(name) or is_tight(now, name, pool)
+        for at in (600 * MS, 650 * MS, 700 * MS):
+            holder.fleet(at, {"e0": at})
+            tally.admit(at, "t7")
+            tell(tally, holder, at)
+        self.assertEqual({"t7"}, set(looks))
+
+    def test_what_a_silent_ingress_may_have_passed_makes_a_tenant_short_for_all(self):
+        # e0 holds a ceiling and says nothing more; when its word ends, all of that counts as passed.
+        (silent, _, _), holder = in_touch(rate=100.0, nodes=3)
+        burst(silent, 250 * MS, 40)
+        tell(silent, holder, 260 * MS)
+        pool, given = holder.pools["t"], holder.sources["e0"][0].given["t"]
+        left, ends = given.left(), given.until
+        for at in range(300 * MS, ends, 50 * MS):
+            holder.fleet(at, {"e0": 260 * MS, "e1": at, "e2": at})
+        pool.level = kept_of(pool.shape, 3) - pool.shape.ahead + left / 2
+        quiet = [Push(node="e2", life=1, number=number, holder=1) for number in (90, 91)]
+        self.assertEqual([], list(holder.push(ends - 1, quiet[0]).totals))
+        self.assertEqual(["t"], [total.tenant for total in holder.push(ends + 1, quiet[1]).totals])
+
+    def test_more_ingresses_make_a_tenant_short_for_all(self):
+        tallies, holder = in_touch(rate=100.0, nodes=2)
+        quiet = Push(node="e1", life=1, number=90, holder=1)
+        self.assertEqual([], list(holder.push(300 * MS, quiet).totals))
+        holder.pools["t"].level = 30.0 - holder.pools["t"].shape.ahead
+        holder.fleet(310 * MS, {f"e{n}": 0 for n in range(86)})
+        quiet.number = 91
+        self.assertEqual(["t"], [total.tenant for total in holder.push(320 * MS, quiet).totals])
+
+    def told_of(self, holder, node, at, number):
+        push = Push(node=node, life=1, number=number, holder=1)
+        return [total.tenant for total in holder.push(at, push).totals]
+
+    def nearly_short(self, holder, left):
+        """Losing half as much more makes the tenant short."""
+        pool = holder.pools["t"]
+        holder.refill(400 * MS, pool)
+        pool.level = kept_of(pool.shape, holder.ingresses) - pool.shape.ahead + left / 2
+
+    def test_what_a_forgotten_life_may_have_passed_makes_a_tenant_short_for_all(self):
+        (spender, _), holder = in_touch(rate=100.0, nodes=2)
+        burst(spender, 390 * MS, 40)
+        tell(spender, holder, 400 * MS)
+        self.nearly_short(holder, holder.sources["e0"][0].given["t"].left())
+        for life in range(2, 6):
+            holder.push(401 * MS, Push(node="e0", life=life, number=1, holder=1))
+        self.assertEqual(["t"], self.told_of(holder, "e1", 402 * MS, 90))
+
+    def test_what_an_older_life_passed_makes_a_tenant_short_for_all(self):
+        _, holder = in_touch(rate=100.0, nodes=2)
+        holder.push(390 * MS, Push(node="e0", life=2, number=1, holder=1))
+        self.nearly_short(holder, 40)
+        count = holder.sources["e0"][0].given["t"].count
+        late = Push(node="e0", life=1, number=91, holder=1)
+        late.passed.add(tenant="t", count=count + 30, ended=count)
+        holder.push(401 * MS, late)
+        self.assertEqual(["t"], self.told_of(holder, "e1", 402 * MS, 90))
+
+    def test_a_new_limit_is_looked_at_for_all(self):
+        _, holder = in_touch(rate=100.0, nodes=2)
+        self.assertEqual([], self.told_of(holder, "e1", 400 * MS, 90))
+        holder.configure(401 * MS, {"t": tenant(10.0)})
+        holder.pools["t"].level = -15.0
+        self.assertEqual(["t"], self.told_of(holder, "e1", 402 * MS, 91))
+
+    def test_what_the_holder_before_had_left_is_looked_at_for_all(self):
+        holder = Holder(2, 0)
+        holder.configure(0, {"t": tenant(10.0)})
+        holder.fleet(0, {f"e{n}": 0 for n in range(86)})
+        holder.pools["t"].low = -200.0
+        self.assertEqual([], self.told_of(holder, "e0", 10 * MS, 1))
+        holder.unsettled.clear()
+        holder.fleet(1_100 * MS, {f"e{n}": 0 for n in range(86)})
+        self.assertTrue(holder.whole)
+        self.assertEqual(["t"], self.told_of(holder, "e0", 1_110 * MS, 2))
+
+    def test_a_store_gains_by_who_spoke_when(self):
+        _, holder = in_touch(rate=100.0, nodes=2)
+        pool, start = holder.pools["t"], 300 * MS
+        holder.refill(start, pool)
+        pool.level = -100.0
+        pool.ends.clear()  # what e1 was given does not enter
+        for at in range(start, 1_301 * MS, 10 * MS):  # e1 is silent from 0.7 s on: it was heard at 0.2 s
+            holder.push(at, Push(node="e0", life=1, number=90 + at, holder=1))
+            pool.tight, holder.tight = False, {}
+        holder.unsettled.clear()
+        holder.refill(1_300 * MS, pool)
+        self.assertTrue(abs(pool.level - (-100.0 + 40.0 + 30.0)) < 4.0, pool.level)
+
     def test_ingresses_are_those_named_and_those_that_pushed(self):
         (tally,), holder = in_touch()
         holder.fleet(300 * MS, {"e0": 0, "e1": 0})
--- a/vetchusher/limits/totals.py
+++ b/vetchusher/limits/totals.py
@@ -14,6 +14,7 @@
 from collections import deque
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
+from heapq import heappop, heappush
 
 from vetchusher.distribution.wire_pb2 import Passed, Push, Total, Totals
 from vetchusher.settings.configuration import Tenant
@@ -87,6 +88,7 @@
     """One tenant's quota.
 
     :param level: of the store; below 0: passed ahead
+    :param at: up to which the store has gained, as `Holder.speaking`
     :param out: what valid ceilings still allow, over `active` ingresses
     :param low: below 0: what the holder before had left, as told by the ingresses, at `low_at`
     :param tight: too little for parts without a word: all are told
@@ -94,7 +96,7 @@
 
     shape: Shape
     level: float
-    at: int
+    at: float
     out: int = 0
     active: int = 0
     used: float = 0.0
@@ -129,6 +131,12 @@
         self.whole = False
         self.silent = 0
         self.looked_at = NEVER
+        self.speaking = 0.0  # us since its start, each weighed by the part of the ingresses that spoke
+        self.spoken_at = now  # us up to which that is reckoned
+        self.ends: list[tuple[int, str]] = []  # heap: when words of a tenant run out
+        self.tight: dict[str, None] = {}  # tenants of whom all are told
+        self.unsettled: dict[str, None] = {}  # tenants that may have become tight since they were looked at
+        self.shapes: tuple[Shape, ...] = ()  # of all pools
         self.configured = 0  # times
         self.stood: tuple[object, ...] = ()
         self.alarms: list[str] = []  # tenants that have become tight, not yet told to all
@@ -142,11 +150,15 @@
                 continue
             pool = old.get(name)
             if pool is None:
-                pool = Pool(shape, shape.depth, now)
+                self.speak(now)
+                pool = Pool(shape, shape.depth, self.speaking)
             else:
                 self.refill(now, pool)
                 pool.shape, pool.level = shape, min(pool.level, shape.depth)
             self.pools[name] = pool
+        self.shapes = tuple(pool.shape for pool in self.pools.values())
+        self.unsettled = dict.fromkeys(self.pools)
+        self.tight = {name: None for name in self.tight if name in self.pools}
         for source in self.each_source():
             for name in [n for n in source.given if n not in self.pools]:
                 del source.given[name]
@@ -156,19 +168,22 @@
 
     def fleet(self, now: int, nodes: Mapping[str, int]) -> None:
         """:param nodes: ingresses that may be serving, by name, with us when each was last heard"""
-        for pool in self.pools.values():
-            self.refill(now, pool)
+        self.expire(now)
         self.nodes = set(nodes)
         for node in [n for n, lives in self.sources.items() if n not in self.nodes]:
             if now - self.sources[node][-1].heard_at > GONE_US:
                 for source in self.sources.pop(node):
                     self.forget(now, source)
-        self.count_ingresses()
+        self.count_ingresses(now)
         self.look(now)
 
-    def count_ingresses(self) -> None:
+    def count_ingresses(self, now: int) -> None:
         """After each change of `nodes` or `sources`: a push reads the count several times for each tenant."""
-        self.ingresses = max(1, len(self.nodes | self.sources.keys()))
+        found = max(1, len(self.nodes | self.sources.keys()))
+        if found != self.ingresses:
+            self.speak(now)
+            self.ingresses = found
+            self.unsettled = dict.fromkeys(self.pools)  # what is kept back is reckoned by it
 
     def standing(self) -> dict[str, object] | None:
         """What the bound stands on, where that has changed: figures for the log.
@@ -180,12 +195,12 @@
             self.whole,
             self.ingresses,
             self.silent > 0,
-            tuple(pool.shape for pool in self.pools.values()),
+            self.shapes,
         )
         if stands == self.stood:
             return None
         self.stood = stands
-        shapes = stands[3]
+        shapes = self.shapes
         return {
             "ingresses": self.ingresses,
             "whole": int(self.whole),
@@ -200,6 +215,7 @@
     def look(self, now: int) -> None:
         """Count the silent.  Danger: what they pass meanwhile is not heard; their parts are kept back."""
         self.looked_at = now
+        self.speak(now)
         heard = [lives[-1] for lives in self.sources.values()]
         unheard = len(self.nodes - self.sources.keys())
         self.silent = unheard + sum(now - source.heard_at > SILENT_US for source in heard)
@@ -207,6 +223,7 @@
             told = not unheard and all(s.told for s in heard if s.node in self.nodes)
             if told or now - self.born >= WHOLE_US:
                 self.whole = True
+                self.unsettled = dict.fromkeys(self.pools)
                 for pool in self.pools.values():
                     # Danger: what the unheard passed before is not known either.
                     self.refill(now, pool)
@@ -215,11 +232,26 @@
                     left = max(pool.low, -pool.shape.ahead) + pool.shape.gained(now - pool.low_at)
                     pool.level = min(pool.level, left) if pool.low < 0.0 else pool.level
 
+    def speak(self, now: int) -> None:
+        """Before each change of who is silent, and of how many there are: until now it was as it is."""
+        self.speaking += (now - self.spoken_at) * (1.0 - self.silent / self.ingresses)
+        self.spoken_at = now
+
+    def expire(self, now: int) -> None:
+        """Words that have run out; only these pools are looked at."""
+        while self.ends and self.ends[0][0] <= now:
+            _, name = heappop(self.ends)
+            pool = self.pools.get(name)
+            if pool is not None:
+                self.refill(now, pool)
+                self.unsettled[name] = None
+
     def refill(self, now: int, pool: Pool) -> None:
         """Bring a pool up to date: its store, and ceilings that have run out."""
-        speaking = 1.0 - self.silent / self.ingresses
-        pool.level = min(pool.shape.depth, pool.level + pool.shape.gained(now - pool.at) * speaking)
-        pool.at = now
+        self.speak(now)
+        gained = pool.shape.rate * (self.speaking - pool.at) / 1e6
+        pool.level = min(pool.shape.depth, pool.level + gained)
+        pool.at = self.speaking
         while pool.ends and pool.ends[0][0] <= now:
             until, source, given = pool.ends.popleft()
             if given.until == until:
@@ -265,18 +297,21 @@
                 source.unsure.discard(name)
         answer = Totals(number=push.number, life=self.life, whole=self.whole, ingresses=self.ingresses)
         answer.silent, answer.now_us = self.silent, now
+        self.expire(now)
         if self.whole and source is self.sources[source.node][-1]:
             named = set(asked)
             answer.totals.extend(self.word(now, name, source, True, push.number) for name in asked)
-            for name, pool in self.pools.items():
-                if name not in named and self.is_tight(now, name, pool):
+            unsettled, self.unsettled = self.unsettled, {}
+            # Danger: only a pool that has lost something can have become tight; all others only gain.
+            for name in [*self.tight, *(name for name in unsettled if name not in self.tight)]:
+                if name not in named and self.is_tight(now, name, self.pools[name]):
                     answer.totals.append(self.word(now, name, source, False, push.number))
         return answer
 
     def source_of(self, now: int, push: Push) -> Source:
         if push.node not in self.sources:
             self.sources[push.node] = []
-            self.count_ingresses()
+            self.count_ingresses(now)
         lives = self.sources[push.node]
         source = next((s for s in lives if s.life == push.life), None)
         if source is None:
@@ -298,6 +333,7 @@
                 pool.active -= 1
                 pool.out -= given.left()
                 pool.level -= given.left()
+                self.unsettled[name] = None
                 given.until = NEVER
 
     def count(self, now: int, pool: Pool, source: Source, passed: Passed, knows: bool, at: int) -> bool:
@@ -327,6 +363,7 @@
             pool.out += given.left() if given.until > NEVER else 0
         kept = pool.shape.gained(int(source.kept)) / self.ingresses
         pool.level -= max(0.0, new - kept)
+        self.unsettled[passed.tenant] = None
         index = min(at, now) // pool.shape.length_us
         pool.windows.roll(now // pool.shape.length_us)
         fresh = min(new, passed.count - passed.ended)
@@ -347,7 +384,10 @@
             kept += max(0.0, pool.out - pool.active * first_of(pool.shape, self.ingresses))
         was, pool.tight = pool.tight, pool.level + pool.shape.ahead < kept
         pool.tight = pool.tight or now - pool.tight_at < ALARM_US
+        if pool.tight != was:
+            self.tight.pop(name, None)
         if pool.tight and not was:
+            self.tight[name] = None
             pool.tight_at = now
             if is_thin(pool.shape, self.ingresses):
                 # Danger: not all firsts are kept back: whoever has one must hear before it next asks.
@@ -385,6 +425,7 @@
         given.until = now + STALE_US
         pool.out += given.left()
         pool.ends.append((given.until, source, given))
+        heappush(self.ends, (given.until, name))
         pool.windows.roll(now // pool.shape.length_us)
         windows, level = pool.windows, min(0, int(pool.level))
         total = Total(tenant=name, ceiling=ceiling, level=level)
