--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -22,6 +22,7 @@
 import uvloop
 
 from benchmarks.capacity import configurations as made
+from benchmarks.capacity.fleet import acknowledged
 from vetchusher.control import Store
 from vetchusher.directory.presence import Presence
 from vetchusher.discovery.reader import Reader, read_page
@@ -205,7 +206,7 @@
 def requests(node: EdgeNode, routes: int, tenants: int) -> tuple[float, float]:
     """us of processor for all decisions on one request that goes to one server: median, and 99 in 100."""
     rng, ground, spent = random.Random(1), node.front.ground, []
-    ground.fresh = True
+    ground.fresh_until = 1 << 62
     drawn = [rng.randrange(tenants) for _ in range(DRAWN)]
     held = Holder(1, steady_us())
     assert ground.table is not None
@@ -284,8 +285,7 @@
 
 async def order(node: ControlNode, body: bytes, version: int) -> None:
     """Until it is acknowledged, told to readers, and put away."""
-    outcome = await node.settle(operator_api.ReplaceConfiguration(body))
-    outcome.unwrap()
+    acknowledged(await node.settle(operator_api.ReplaceConfiguration(body))).unwrap()
     while node.applying.behind or node.control.stamp > node.shelved.get("control", (0, 0)):
         await asyncio.sleep(0.005)
 
@@ -361,7 +361,7 @@
         now += SECOND_US
         passed = [wire.Passed(tenant=name, count=1, recent=1) for name in names]
         held.push(now, wire.Push(node=f"e{ingress}", life=1, number=1, holder=1, passed=passed))
-    kept = sum(len(source.given) for source in held.each_source())
+    kept = sum(len(source.grants) for source in held.each_source())
     grown = memory_mb() - start
     return {"words": float(kept), "mb": grown, "bytes a word": grown * (1 << 20) / kept}
 
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any, cast
+from typing import Any, TypeAlias, cast
 
 from returns.result import Result, Success
 
@@ -35,6 +35,8 @@
 from vetchusher.node.platform import Platform
 from vetchusher.settings.node import Bounds, CloudApi, Listen, NodeSettings
 
+Settled: TypeAlias = Result[operator_api.Answer, Fault] | operator_api.Backed
+
 PORT = 7000
 IN_ZONE, BETWEEN_ZONES, BETWEEN_REGIONS = "in zone", "between zones", "between regions"
 WAYS = {IN_ZONE: (150, 500), BETWEEN_ZONES: (500, 1_500), BETWEEN_REGIONS: (54 * MS, 56 * MS)}
@@ -51,6 +53,11 @@
 HEADER = 66  # bytes of Ethernet, IP and TCP around each message, for what is reckoned of them
 
 
+def acknowledged(outcome: Settled) -> Result[operator_api.Answer, Fault]:
+    """What an operator would be told."""
+    return outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+
+
 @dataclass(frozen=True, slots=True)
 class Size:
     """:param requests: a second at each ingress, of tenants drawn evenly"""
@@ -337,7 +344,7 @@
 
         async def settle() -> None:
             outcome = await part.settle(operator_api.ReplaceConfiguration(body))
-            if isinstance(outcome, Success):
+            if isinstance(acknowledged(outcome), Success):
                 done.append(self.clock.at)
 
         process.loop.call_soon(lambda: process.loop.create_task(settle()))
--- a/benchmarks/capacity/loopback.py
+++ b/benchmarks/capacity/loopback.py
@@ -19,7 +19,7 @@
 
 from benchmarks.capacity import configurations as made
 from benchmarks.capacity.drivers import Figures, fleet_at
-from benchmarks.capacity.fleet import BOUNDS, PORT, HollowPlatform, Size
+from benchmarks.capacity.fleet import BOUNDS, PORT, HollowPlatform, Size, acknowledged
 from vetchusher.control import Store
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore
@@ -125,7 +125,7 @@
         for ip in self.cores:
             part = self.parts[ip]
             if isinstance(part, ControlNode) and part.member.holds(steady_us()):
-                (await part.settle(operator_api.ReplaceConfiguration(body))).unwrap()
+                acknowledged(await part.settle(operator_api.ReplaceConfiguration(body))).unwrap()
 
     async def close(self) -> None:
         for task in self.tasks:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,44 +1,47 @@
-"""News: readers that pull deltas from any ledger end with the author's rows, whatever they skipped."""
+"""Distribution: readers that pull deltas from any source end with the rows of its author."""
 
 import pathlib
 import random
 import shutil
+import sqlite3
 import tempfile
+import zlib
+from typing import ClassVar
 
 from testtools import TestCase
 
-from vetchusher.directory.naming import entrances_of, named
+from vetchusher.directory.naming import named, serving_ingresses
 from vetchusher.directory.neighbours import Place, neighbours
 from vetchusher.directory.presence import SERVING_US, Presence
 from vetchusher.discovery.reader import Listed, Reader, read_page, read_row
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore, whole
-from vetchusher.distribution.source import Source, message_of, sorted_out
+from vetchusher.distribution.source import NEVER, Source, message_of, sorted_out
 from vetchusher.distribution.subscriber import BEAT_US, FRESH_US, TOUCH_US, SendBeat, SendPull, Subscriber
 
 S = 1_000_000
 
 
-class Ledgers(TestCase):
+class SourceTest(TestCase):
     def test_readers_that_pull_from_anybody_hold_what_the_author_wrote_under_their_stamp(self):
         for seed in range(60):
             rng = random.Random(seed)
             written: dict[tuple[int, int], dict[str, bytes]] = {(0, 0): {}}
             # The first two may author an epoch each; the second takes over from what it has pulled.
-            ledgers = [Source("discovery") for _ in range(5)]
-            author, stamp = ledgers[0], (1, 0)
+            sources = [Source("discovery") for _ in range(5)]
+            author, stamp = sources[0], (1, 0)
             for step in range(120):
                 if step == 60:
-                    author, stamp = ledgers[1], (2, 0)
+                    author, stamp = sources[1], (2, 0)
                 if rng.random() < 0.4:
                     stamp = (stamp[0], stamp[1] + 1)
                     rows = {f"k{n}": b"%d" % rng.randrange(3) for n in range(6) if rng.random() < 0.7}
                     author.publish(stamp, rows)
                     written[stamp] = rows
-                reader, teller = rng.sample(ledgers, 2)
-                if reader is not author and (news := teller.since(reader.stamp)) is not None:
+                reader, sender = rng.sample(sources, 2)
+                if reader is not author and (news := sender.since(reader.stamp)) is not None:
                     reader.take(wire.SourceNews.FromString(news.SerializeToString()))
-                for one in ledgers:
+                for one in sources:
                     self.assertEqual(written[one.stamp], one.values())
 
     def test_nobody_goes_back_to_an_older_stamp(self):
@@ -85,6 +88,25 @@
         self.assertTrue(follower.fresh(S + FRESH_US))
         self.assertFalse(follower.fresh(S + FRESH_US + 1))
 
+    def test_one_that_knows_a_cut_off_machine_only_asks_those_that_it_names(self):
+        #  a (cut off, names x, b, c)   the ingress, whose file names a
+        #  names x, b, c ------------>  asks them too, and is not fresh
+        #  b: in force, a, b, c ----->  fresh, and asks x no more
+        control = Source("control")
+        control.publish((1, 0), {})
+        follower = Subscriber(["a"], {"control": control})
+        follower.tick(0)
+        answer = heard(0, False)
+        answer.members.append("x")
+        follower.heard_beat(10, "a", 0, answer)
+        self.assertEqual({"b", "c", "x"}, {send.to for send in follower.tick(20)})
+        self.assertFalse(follower.fresh(20))
+        follower.heard_beat(30, "b", 20, heard(0, True))
+        self.assertTrue(follower.fresh(30))
+        self.assertEqual({"a", "b", "c"}, set(follower.contacts))
+        follower.heard_beat(40, "a", 35, answer)  # it names them still, and nobody listens
+        self.assertEqual({"a", "b", "c"}, set(follower.contacts))
+
     def test_beats_go_to_seeds_and_members_and_never_two_at_a_time_to_one(self):
         follower, _ = self.follower()
         follower.tick(0)
@@ -114,23 +136,23 @@
     return Listed(instance, **(fields | {"draining": False, "cold_left_ms": 0} | over))
 
 
-class Scouts(TestCase):
-    zones = {"n-a": "n", "g-a": "g"}
+class ReaderTest(TestCase):
+    zones: ClassVar = {"n-a": "n", "g-a": "g"}
 
-    def test_one_keeper_each_of_its_region_who_stays_until_it_is_gone(self):
+    def test_one_cold_owner_each_of_its_region_who_stays_until_it_is_gone(self):
         reader = Reader(self.zones, {})
         nodes = [("e1", "n"), ("e2", "n"), ("e3", "g")]
         entries = [listed(f"i-{n}", cold_left_ms=900) for n in range(40)]
-        first = {k: read_row(k, v, 0).unwrap().keeper for k, v in reader.read(entries, nodes).items()}
+        first = {k: read_row(k, v, 0).unwrap().cold_owner for k, v in reader.read(entries, nodes).items()}
         self.assertEqual({"e1", "e2"}, set(first.values()))
         again = reader.read(entries, [*nodes, ("e4", "n")])
-        self.assertEqual(first, {k: read_row(k, v, 0).unwrap().keeper for k, v in again.items()})
-        # Another reader goes on with the rows, and keepers named anew wait out the one before.
+        self.assertEqual(first, {k: read_row(k, v, 0).unwrap().cold_owner for k, v in again.items()})
+        # Another reader goes on with the rows, and cold_owners named anew wait out the one before.
         after = Reader(self.zones, again).read(entries, nodes[1:])
         for instance, value in after.items():
             server = read_row(instance, value, 5 * S).unwrap()
-            self.assertEqual("e2", server.keeper)
-            self.assertEqual(8 * S if first[instance] == "e1" else 5 * S, server.kept_from)
+            self.assertEqual("e2", server.cold_owner)
+            self.assertEqual(8 * S if first[instance] == "e1" else 5 * S, server.owned_from)
 
     def test_what_two_whole_reads_lack_is_gone_and_a_coldness_that_runs_down_changes_no_row(self):
         reader = Reader(self.zones, {})
@@ -150,7 +172,7 @@
             self.assertTrue(read_page(raw).failure().text.startswith("instances: "))
 
 
-class Entrance(TestCase):
+class ServingIngress(TestCase):
     def test_the_directory_names_ready_ones_of_the_region_and_all_where_those_are_too_few(self):
         presence = Presence()
         places = {"e1": ("n", "n-a"), "e2": ("n", "n-b"), "e3": ("g", "g-a"), "e4": ("g", "g-b")}
@@ -180,7 +202,7 @@
 
         def at_an_ingress(now, seq):
             told.publish((1, seq), presence.rows(now))
-            return named(entrances_of(told.values()), "n", "n-a")
+            return named(serving_ingresses(told.values()), "n", "n-a")
 
         self.assertEqual(["e1:1", "e2:1", "e3:1"], at_an_ingress(S, 1))
         for node, standing in (("e1", wire.LEAVING), ("e2", wire.READY)):
@@ -192,7 +214,7 @@
         self.assertEqual(["e2:1"], at_an_ingress(SERVING_US + 1, 3))
         self.assertEqual(3, len(told.rows))  # they still count among those that may have clients
         old = {"e9": b'["10.0.0.9","n-a","n"]'}  # a row of the form before says nothing of it
-        self.assertEqual([], entrances_of(old))
+        self.assertEqual([], serving_ingresses(old))
 
     def test_one_that_no_core_machine_answers_does_not_say_who_serves(self):
         follower = Subscriber(["a"], {"control": Source("control")})
@@ -208,9 +230,9 @@
         self.addCleanup(shutil.rmtree, folder)
         author = Source("control")
         author.publish((3, 7), {"version": b'"r4"', "limits": b"{}"})
-        shelf = SnapshotStore.open(folder).unwrap()
-        shelf.save(whole(author)).unwrap()
-        shelf.close()
+        snapshots = SnapshotStore.open(folder).unwrap()
+        snapshots.save(whole(author)).unwrap()
+        snapshots.close()
         again = Source("control")
         opened = SnapshotStore.open(folder).unwrap()
         self.assertEqual(
@@ -218,9 +240,15 @@
         )
         self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
         # A row that was changed behind our back is not taken, a file that is none is put aside.
-        opened.base.execute("UPDATE told SET news = X'00'")
-        opened.base.commit()
-        self.assertEqual([], opened.load({"control": Source("control")}).unwrap())
+        for change in (
+            "UPDATE row SET value = X'00' WHERE key = 'version'",
+            "DELETE FROM row WHERE key = 'limits'",
+        ):
+            opened.base.execute(change)
+            opened.base.commit()
+            self.assertEqual([], opened.load({"control": Source("control")}).unwrap())
+            opened.save(whole(author)).unwrap()
+            self.assertEqual(["control"], opened.load({"control": Source("control")}).unwrap())
         opened.close()
         pathlib.Path(folder, "told.sqlite3").write_bytes(b"torn" * 4096)
         self.assertEqual(
@@ -228,16 +256,90 @@
         )
 
     def test_a_file_of_an_earlier_release_is_read_under_the_names_of_today(self):
+        """Form 1: a source in one piece with a checksum; one that is torn is left out."""
         folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, folder)
-        author = Source("comb")
-        author.publish((3, 7), {"version": b'"r4"'})
-        store = SnapshotStore.open(folder).unwrap()
+        base = sqlite3.connect(pathlib.Path(folder, "told.sqlite3"))
+        base.execute("PRAGMA journal_mode=wal")
+        base.execute("CREATE TABLE told (source TEXT PRIMARY KEY, sum INTEGER, news BLOB)")
+        base.execute("PRAGMA user_version=1")
+        authors = {name: Source(name) for name in ("comb", "discovery", "entrance")}
+        for name, author in authors.items():
+            author.publish((3, 7), {"version": b'"r4"', "of": name.encode()})
+            raw = whole(author).SerializeToString()
+            torn = name == "entrance"
+            base.execute("INSERT INTO told VALUES (?, ?, ?)", (name, zlib.crc32(raw) + torn, raw))
+        base.commit()
+        base.close()
+        for _ in range(2):
+            again = {name: Source(name) for name in ("control", "discovery", "directory")}
+            store = SnapshotStore.open(folder).unwrap()
+            self.assertEqual(["control", "discovery"], sorted(store.load(again).unwrap()))
+            for now, then in (("control", "comb"), ("discovery", "discovery")):
+                self.assertEqual(
+                    (authors[then].stamp, authors[then].values()), (again[now].stamp, again[now].values())
+                )
+            store.close()
+
+    def test_what_changed_is_written_and_all_of_it_comes_back(self):
+        folder, rng = tempfile.mkdtemp(), random.Random(1)
+        self.addCleanup(shutil.rmtree, folder)
+        author, store, rows = Source("control"), SnapshotStore.open(folder).unwrap(), {}
+        for seq in range(1, 200):
+            for _ in range(rng.randrange(4)):
+                rows[f"route/{rng.randrange(30)}"] = b"%d" % rng.randrange(3)
+            for key in rng.sample(sorted(rows), min(len(rows), rng.randrange(3))):
+                del rows[key]
+            author.publish((1, seq), rows)
+            if rng.random() < 0.7:  # some changes go together
+                held = store.saved.get("control")
+                store.save(author.since(held.stamp if held else NEVER)).unwrap()
+            if rng.random() < 0.1:
+                store.close()
+                store = SnapshotStore.open(folder).unwrap()
+        author.publish((1, 200), rows | {"route/last": b""})
+        store.save(author.since(store.saved["control"].stamp)).unwrap()
+        again = Source("control")
+        store.load({"control": again}).unwrap()
+        self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
+        left_out = author.since((*author.stamp[:1], author.stamp[1] - 1))
+        left_out.base.seq += 5
+        self.assertIn("leave something out", store.save(left_out).failure().text)
+
+    def test_the_file_has_a_bound_and_keeps_what_it_held_when_more_comes(self):
+        folder = tempfile.mkdtemp()
+        self.addCleanup(shutil.rmtree, folder)
+        store, author = SnapshotStore.open(folder, disk_mb=16).unwrap(), Source("control")
+        rows = {f"route/{n}": b"x" * 200 for n in range(4000)}
+        author.publish((1, 1), rows)
         store.save(whole(author)).unwrap()
+        for seq in range(2, 300):
+            rows[f"route/{seq}"] = b"y%d" % seq * 40
+            author.publish((1, seq), rows)
+            store.save(author.since((1, seq - 1))).unwrap()
+        sizes = {p.name: p.stat().st_size for p in pathlib.Path(folder).iterdir()}
+        self.assertLess(sum(sizes.values()), 4_500_000, sizes)  # 0.8 MB of rows, a log of 2 MB
+        much = Source("control")
+        much.publish((1, 300), {f"route/{n}": b"z" * 1000 for n in range(4000)})
+        self.assertIn("full", store.save(whole(much)).failure().text)
+        author.publish((1, 300), rows | {"route/0": b"after"})
+        store.save(author.since((1, 299))).unwrap()
+        store.close()
         again = Source("control")
-        self.assertEqual(["control"], store.load({"control": again}).unwrap())
+        SnapshotStore.open(folder, disk_mb=16).unwrap().load({"control": again}).unwrap()
         self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
 
+    def test_pages_of_what_is_gone_are_given_back(self):
+        folder = tempfile.mkdtemp()
+        self.addCleanup(shutil.rmtree, folder)
+        store, author = SnapshotStore.open(folder).unwrap(), Source("control")
+        author.publish((1, 1), {f"route/{n}": b"x" * 1000 for n in range(4000)})
+        store.save(whole(author)).unwrap()
+        author.publish((1, 2), {"route/1": b"x"})
+        store.save(author.since((1, 1))).unwrap()
+        store.close()
+        self.assertLess(pathlib.Path(folder, "told.sqlite3").stat().st_size, 500_000)
+
 
 class Neighbours(TestCase):
     def test_each_knows_a_small_set_and_one_that_goes_moves_only_the_sets_it_was_in(self):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,12 +9,12 @@
 
 from vetchusher.discovery.server import Server
 from vetchusher.kinds import Kind
-from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge, patches
+from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge, subsets
 from vetchusher.routing.claims import CLAIM, Claim, seen_of, what_next
 from vetchusher.routing.headers import passed_on
-from vetchusher.routing.patches import Patches, rank, workers
 from vetchusher.routing.request import Answer, Cancel, Refuse, Send, WakeAt
 from vetchusher.routing.routes import allowed_regions
+from vetchusher.routing.subsets import Subsets, ingresses_per_server, rank
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
 
 S = 1_000_000
@@ -67,7 +67,7 @@
     def __init__(self, *servers, conf=None, purse=None, node="edge-1"):
         choice = Choice(random.Random(3), node, "gulf", ZONES)
         self.purse = purse or Purse()
-        self.ground = Ground(choice, self.purse, self.purse, random.Random(4), fresh=True)
+        self.ground = Ground(choice, self.purse, self.purse, random.Random(4), fresh_until=1 << 60)
         self.choice = choice
         self.ground.configure(conf or configuration(route("safe"), route("once", RouteType.UNSAFE)))
         choice.servers(servers)
@@ -258,7 +258,7 @@
             (over,) = scene.request(**key).start(0)
             self.assertEqual(Kind.OVER_QUOTA, over.fault.kind)
             self.assertTrue(least <= over.fault.retry_after_us <= most, over.fault.retry_after_us)
-        scene.ground.fresh = False
+        scene.ground.fresh_until = -1
         for target, headers in (("/none/1", key), ("/safe/1", {})):
             fault = scene.judge(target, **headers).failure()
             self.assertEqual((503, True), (fault.status, fault.retry_after_us > 0))
@@ -373,16 +373,16 @@
             choice.ended(0, name, seen, took)
         self.assertEqual({"b"}, self.count(choice))
 
-    def test_cold_ones_are_for_their_keeper_and_slowly(self):
+    def test_cold_ones_are_for_their_owner_and_slowly(self):
         """
         now      0 ..... 1 s ........................ 5 s        6 s .......... 11 s
         cold     #####################################           evacuated ends, ###
-        keeper   (waits)  edge-1: 3 at once, 10 a second         edge-1 again
+        owner    (waits)  edge-1: 3 at once, 10 a second         edge-1 again
         """
-        cold = server("c", cold_until=5 * S, keeper="edge-1", kept_from=S)
-        scene = Scene(cold, server("other", cold_until=5 * S, keeper="edge-2"))
+        cold = server("c", cold_until=5 * S, cold_owner="edge-1", owned_from=S)
+        scene = Scene(cold, server("other", cold_until=5 * S, cold_owner="edge-2"))
         choice = scene.choice
-        self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the keeper no more
+        self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the owner no more
         choice.kept_until = 20 * S
         passed = {}
         for now in range(0, 5 * S, 10_000):
@@ -459,7 +459,7 @@
         zones = {f"edge-{n}": self.ZONES[n % 3] for n in ingresses}
         found = {}
         for me in zones:
-            mine = Patches(me)
+            mine = Subsets(me)
             mine.ingresses(zones)
             found[me] = {s for s in servers if mine.holds(f"i-{s}", self.ZONES[s % 3], len(servers))}
         return found
@@ -467,14 +467,17 @@
     def test_all_servers_are_worked_by_as_many_and_one_change_moves_little(self):
         for ingresses, servers in ((29, 47), (29, 5), (3, 8), (170, 60), (12, 300)):
             before = self.held(range(ingresses), range(servers))
-            number, last = workers(ingresses, servers), f"edge-{ingresses - 1}"
+            number, last = ingresses_per_server(ingresses, servers), f"edge-{ingresses - 1}"
             for one in range(servers):
                 self.assertEqual(number, sum(1 for held in before.values() if one in held))
             after = self.held(range(ingresses - 1), range(servers))
             fewer = self.held(range(ingresses), range(servers - 1))
             for changed, some in (
-                (after, servers * abs(number - workers(ingresses - 1, servers)) + len(before[last])),
-                (fewer, servers * abs(number - workers(ingresses, servers - 1)) + number),
+                (
+                    after,
+                    servers * abs(number - ingresses_per_server(ingresses - 1, servers)) + len(before[last]),
+                ),
+                (fewer, servers * abs(number - ingresses_per_server(ingresses, servers - 1)) + number),
             ):
                 moved = sum(len(held ^ before[me]) for me, held in changed.items())
                 self.assertTrue(moved <= some, (ingresses, servers, moved, some))
@@ -484,7 +487,7 @@
         rng = random.Random(7)
         servers = [(f"i-{n}", self.ZONES[n % 3]) for n in range(60)]
         zones = {f"edge-{n}": self.ZONES[n % 3] for n in range(40)}
-        kept = Patches("edge-0")
+        kept = Subsets("edge-0")
         for _ in range(120):
             name = f"edge-{rng.randrange(1, 60)}"
             if name in zones and rng.random() < 0.6:
@@ -494,7 +497,7 @@
             if rng.random() < 0.05:
                 zones["edge-0"] = rng.choice(self.ZONES)
             kept.ingresses(zones)
-            anew = Patches("edge-0")
+            anew = Subsets("edge-0")
             anew.ingresses(zones)
             for instance, zone in servers:
                 self.assertEqual(anew.holds(instance, zone, 60), kept.holds(instance, zone, 60))
@@ -502,12 +505,12 @@
 
     def test_one_ingress_more_ranks_that_one_only(self):
         zones = {f"edge-{n}": "gulf-a" for n in range(100)}
-        kept, ranked = Patches("edge-0"), []
+        kept, ranked = Subsets("edge-0"), []
         kept.ingresses(zones)
         for n in range(50):
             kept.holds(f"i-{n}", "gulf-a", 50)
         with patch.object(
-            patches, "rank", lambda name, instance: ranked.append(name) or rank(name, instance)
+            subsets, "rank", lambda name, instance: ranked.append(name) or rank(name, instance)
         ):
             kept.ingresses(zones | {"edge-new": "gulf-a"})
             for n in range(50):
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -12,7 +12,7 @@
 from vetchusher.emulator.quota.world import Scene, Trouble, World
 from vetchusher.limits.tally import ALONE_US, Tally
 from vetchusher.limits.totals import Holder
-from vetchusher.limits.windows import Bounds, Pair, kept_of, shape_of
+from vetchusher.limits.windows import Bounds, Pair, reserve_of, shape_of
 from vetchusher.settings.configuration import Tenant
 
 MS = 1_000
@@ -157,19 +157,19 @@
 
     def test_a_lowered_word_counts_as_the_higher_one_until_it_is_heard(self):
         (tally,), holder = in_touch()
-        given, pool = holder.sources["e0"][0].given["t"], holder.pools["t"]
-        high = given.ceiling
+        grant, pool = holder.sources["e0"][0].grants["t"], holder.pools["t"]
+        high = grant.ceiling
         pool.level = -pool.shape.ahead - 5.0
         tally.own["t"].wanted = True
         tell(tally, holder, 400 * MS, lost=True)
-        self.assertEqual(high, given.ceiling)
+        self.assertEqual(high, grant.ceiling)
         tally.own["t"].wanted = True
         tell(tally, holder, 500 * MS)
         self.assertTrue(tally.own["t"].ceiling < high)
-        self.assertEqual(high, given.ceiling)
+        self.assertEqual(high, grant.ceiling)
         tally.own["t"].wanted = True
         tell(tally, holder, 600 * MS)
-        self.assertTrue(given.ceiling < high, (given.ceiling, high))
+        self.assertTrue(grant.ceiling < high, (grant.ceiling, high))
 
     def test_all_are_told_unasked_of_a_tenant_of_whom_nothing_passes_without_a_word(self):
         # 86 ingresses could take three each of a store of 30.
@@ -236,7 +236,7 @@
             tally.admit(10 * MS, name)
         holder.sources = CountedSources(holder.sources)
         tell(tally, holder, 20 * MS)
-        self.assertEqual(50, len(holder.sources["e0"][0].given))
+        self.assertEqual(50, len(holder.sources["e0"][0].grants))
         self.assertTrue(holder.sources.looks <= 2, holder.sources.looks)
 
     def test_tenants_that_lost_nothing_are_not_looked_at(self):
@@ -261,17 +261,17 @@
         (silent, _, _), holder = in_touch(rate=100.0, nodes=3)
         burst(silent, 250 * MS, 40)
         tell(silent, holder, 260 * MS)
-        pool, given = holder.pools["t"], holder.sources["e0"][0].given["t"]
+        pool, given = holder.pools["t"], holder.sources["e0"][0].grants["t"]
         left, ends = given.left(), given.until
         for at in range(300 * MS, ends, 50 * MS):
             holder.fleet(at, {"e0": 260 * MS, "e1": at, "e2": at})
-        pool.level = kept_of(pool.shape, 3) - pool.shape.ahead + left / 2
+        pool.level = reserve_of(pool.shape, 3) - pool.shape.ahead + left / 2
         quiet = [Push(node="e2", life=1, number=number, holder=1) for number in (90, 91)]
         self.assertEqual([], list(holder.push(ends - 1, quiet[0]).totals))
         self.assertEqual(["t"], [total.tenant for total in holder.push(ends + 1, quiet[1]).totals])
 
     def test_more_ingresses_make_a_tenant_short_for_all(self):
-        tallies, holder = in_touch(rate=100.0, nodes=2)
+        _tallies, holder = in_touch(rate=100.0, nodes=2)
         quiet = Push(node="e1", life=1, number=90, holder=1)
         self.assertEqual([], list(holder.push(300 * MS, quiet).totals))
         holder.pools["t"].level = 30.0 - holder.pools["t"].shape.ahead
@@ -287,13 +287,13 @@
         """Losing half as much more makes the tenant short."""
         pool = holder.pools["t"]
         holder.refill(400 * MS, pool)
-        pool.level = kept_of(pool.shape, holder.ingresses) - pool.shape.ahead + left / 2
+        pool.level = reserve_of(pool.shape, holder.ingresses) - pool.shape.ahead + left / 2
 
     def test_what_a_forgotten_life_may_have_passed_makes_a_tenant_short_for_all(self):
         (spender, _), holder = in_touch(rate=100.0, nodes=2)
         burst(spender, 390 * MS, 40)
         tell(spender, holder, 400 * MS)
-        self.nearly_short(holder, holder.sources["e0"][0].given["t"].left())
+        self.nearly_short(holder, holder.sources["e0"][0].grants["t"].left())
         for life in range(2, 6):
             holder.push(401 * MS, Push(node="e0", life=life, number=1, holder=1))
         self.assertEqual(["t"], self.told_of(holder, "e1", 402 * MS, 90))
@@ -302,7 +302,7 @@
         _, holder = in_touch(rate=100.0, nodes=2)
         holder.push(390 * MS, Push(node="e0", life=2, number=1, holder=1))
         self.nearly_short(holder, 40)
-        count = holder.sources["e0"][0].given["t"].count
+        count = holder.sources["e0"][0].grants["t"].count
         late = Push(node="e0", life=1, number=91, holder=1)
         late.passed.add(tenant="t", count=count + 30, ended=count)
         holder.push(401 * MS, late)
@@ -340,7 +340,7 @@
         self.assertTrue(abs(pool.level - (-100.0 + 40.0 + 30.0)) < 4.0, pool.level)
 
     def test_ingresses_are_those_named_and_those_that_pushed(self):
-        (tally,), holder = in_touch()
+        (_tally,), holder = in_touch()
         holder.fleet(300 * MS, {"e0": 0, "e1": 0})
         self.assertEqual(2, holder.ingresses)
         holder.push(310 * MS, Push(node="e7", life=1, number=1))
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -28,6 +28,10 @@
     lives: dict[str, int] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
 
+    def heard_within(self, now: int, period_us: int) -> set[str]:
+        """Who was heard in that time until now."""
+        return {ip for ip, heard in self.heard_at.items() if now < heard + period_us}
+
     def apart(self, ips: set[str]) -> bool:
         """Whether they lie in more than one zone."""
         return len({self.zones.get(ip) for ip in ips}) > 1
@@ -39,7 +43,9 @@
     :param holds: it said that it has a copy on its disk, new or old
     :param dropped: stamp up to which it was told to drop its copy; none such counts
     :param record: epoch and number of the record that it has synced; it counts until `lease_until`
+    :param needs_whole: it lacked what a delta built on: until it has synced a write it gets all of it
     :param wrote: stamp of the last write sent to it, first at `first_at`, last at `last_at`
+    :param sent_bytes: of the configuration, in that write
     :param rested_until: it was late with a write: until then, or until it syncs one, it is not chosen
     """
 
@@ -51,9 +57,11 @@
     lease_until: int = 0
     round: int = 0
     amnesiac: bool = False
+    needs_whole: bool = False
     wrote: Point = START
     first_at: int = 0
     last_at: int = 0
+    sent_bytes: int = 0
     pause: int = 0
     rested_until: int = 0
     joined_at: int = 0  # of a learner: when it asked last
@@ -68,8 +76,10 @@
     """It owns the members' and the learners' words (learners that stop asking are dropped), and when each
     renewal was sent."""
 
-    def __init__(self, timing: Timing, peers: Peers, first_round: int) -> None:
+    def __init__(self, timing: Timing, peers: Peers, first_round: int, began: int = 0) -> None:
+        """:param began: when the epoch did"""
         self.timing = timing
+        self.answers_from = began + timing.answer_us
         self.peers = peers
         self.round = first_round
         self.rounds: dict[int, int] = {}  # sent when
@@ -77,7 +87,13 @@
         self.learners: dict[str, ReplicaProgress] = {}
 
     def member(self, ip: str) -> ReplicaProgress:
-        return self.members.setdefault(ip, ReplicaProgress())
+        learner = self.learners.get(ip)
+        return self.members.setdefault(ip, ReplicaProgress()) if learner is None else learner
+
+    def seat(self, ip: str) -> None:
+        """A learner is a voter from now on."""
+        if ip in self.learners:
+            self.members[ip] = self.learners.pop(ip)
 
     def known(self, ip: str) -> ReplicaProgress | None:
         return self.members.get(ip) or self.learners.get(ip)
@@ -117,6 +133,7 @@
             # Danger: a late word must not borrow the time of a newer one that told less.
             backup.copy_until = max(until, backup.copy_until) if backup.copy == backup.wrote else until
             backup.copy, backup.holds, backup.rested_until = backup.wrote, True, 0
+            backup.needs_whole = False
 
     def copy(self, now: int, ip: str) -> Point:
         """Stamp of the copy on that member's disk, as far as its word still counts."""
@@ -136,9 +153,13 @@
         if ip == self.peers.me:
             return True
         backup = self.member(ip)
-        ready = not backup.amnesiac and ip not in self.peers.leaving
+        ready = not backup.amnesiac and ip not in self.peers.leaving and self.answers(now, ip)
         return ready and self.heard(now, ip) and now >= backup.rested_until
 
+    def answers(self, now: int, ip: str) -> bool:
+        """Danger: one that is heard and hears nothing would be waited for with each write."""
+        return now < self.answers_from or now < self.member(ip).lease_until
+
     def forget_learners(self, now: int) -> None:
         old = [ip for ip, x in self.learners.items() if now >= x.joined_at + self.timing.learner_us]
         for ip in old:
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import random
 from collections import Counter
@@ -20,12 +21,12 @@
 from vetchusher.control import PersistentState
 from vetchusher.control.store import Copy, Scanned
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import Source
+from vetchusher.distribution.source import NEVER, Source
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.events import LogEvent
 from vetchusher.kinds import Fault, Kind
 from vetchusher.node import operator_api
-from vetchusher.node.attempts import Matter
+from vetchusher.node.attempts import Got, Matter
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import Paths
@@ -35,7 +36,7 @@
 
 from .judge import Asked, Calm, Judge, Version
 from .process_loops import Clockwork, Net, ProcessLoop
-from .servers import Errands, Listing, Servers
+from .servers import AttemptsStandIn, Listing, Servers
 
 PORT = 7000
 HOST = "tide.example"
@@ -76,7 +77,7 @@
     """:param disk: what is synced of the control state
     :param floor: what an import brought in
     :param copy: the digests of what is on the disk; none here: mending has searches of its own
-    :param shelf: what is synced of what was told, by source
+    :param snapshots: what is synced of what was told, by source
     """
 
     name: str
@@ -87,7 +88,7 @@
     disk: PersistentState | None = None
     floor: PersistentState | None = None
     copy: Copy | None = None
-    shelf: dict[str, bytes] = field(default_factory=dict)
+    snapshots: dict[str, bytes] = field(default_factory=dict)
     life: int = 0
     ran: bool = False
     loop: ProcessLoop | None = None
@@ -105,17 +106,23 @@
 
 
 class DrawnSnapshotStore:
-    """The place of `waggle.shelf.SnapshotStore`."""
+    """The place of `distribution.snapshot.SnapshotStore`."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
 
     def load(self, sources: dict[str, Source]) -> Result[list[str], Fault]:
-        told = {name: wire.SourceNews.FromString(raw) for name, raw in self.machine.shelf.items()}
+        told = {name: wire.SourceNews.FromString(raw) for name, raw in self.machine.snapshots.items()}
         return Success([name for name, news in told.items() if sources[name].take(news)])
 
     def save(self, news: wire.SourceNews) -> Result[None, Fault]:
-        self.machine.shelf[news.source] = news.SerializeToString()
+        kept = Source(news.source)
+        if not news.whole:
+            kept.take(wire.SourceNews.FromString(self.machine.snapshots[news.source]))
+        if not kept.take(news):
+            return Failure(Fault(Kind.BAD_STORE, f"news of {news.source} leave something out"))
+        raw = kept.since(NEVER)
+        self.machine.snapshots[news.source] = raw.SerializeToString() if raw is not None else b""
         return Success(None)
 
 
@@ -158,6 +165,11 @@
     return json.dumps(whole).encode()
 
 
+def version_of(answer: operator_api.Answer) -> int:
+    assert isinstance(answer, operator_api.Retrieved)
+    return int(json.loads(answer.body)["version"][1:])
+
+
 class World:
     """Owner of the machines, and of requests and orders under way."""
 
@@ -270,15 +282,15 @@
 
         part: ControlNode | EdgeNode
         if machine.core:
-            shelf = cast(Any, DrawnSnapshotStore(machine))
+            snapshots = cast(Any, DrawnSnapshotStore(machine))
             part = ControlNode(
-                loop, node, paths, cast(Any, machine), machine.disk, shelf, rng, now, self.note
+                loop, node, paths, cast(Any, machine), machine.disk, snapshots, rng, now, self.note
             )
             part.platform = Listing(self.servers)
         else:
             part = EdgeNode(loop, node, paths, rng, now, self.note)
             part.front.tries.session.detach()
-            part.front.tries = cast(Any, Errands(loop, self.servers))
+            part.front.tries = cast(Any, AttemptsStandIn(loop, self.servers))
         machine.part = part
         loop.create_task(paths.open())
         loop.create_task(part.run())
@@ -299,7 +311,7 @@
     def wipe(self, name: str) -> None:
         self.end(name, True)
         self.machines[name].disk = None
-        self.machines[name].shelf.clear()
+        self.machines[name].snapshots.clear()
 
     def freeze(self, name: str, stops: bool) -> None:
         loop = self.machines[name].loop
@@ -357,7 +369,7 @@
             fronts = [m.name for m in self.ingresses if ZONES[m.zone] == region]
         if not fronts:
             return
-        paths = list(services_of(self.version)) + [f"/new{self.version + 1}/"]
+        paths = [*services_of(self.version), f"/new{self.version + 1}/"]
         tenant = "t2" if self.rng.random() < self.hot else "t1"
         self.ask(self.rng.choice(fronts), self.rng.choice(paths), tenant, region)
 
@@ -414,16 +426,19 @@
             ("Authorization", f"Bearer key-{asked.tenant}"),
         ]
         front = part.front
-        judged = judge(front.ground, Head("POST", f"{asked.path}x", headers, front.now()))
+        judged = judge(front.ground, Head("POST", asked.target, headers, front.now()))
         if isinstance(judged, Failure):
             self.answered(asked, judged.failure().status, then)
             return
         way = judged.unwrap()
-        flow = Flow(front, way, Matter("POST", f"{asked.path}x", [], asked.id.encode()))
+        flow = Flow(front, way, Matter("POST", asked.target, [], asked.id.encode()))
 
         async def serve() -> None:
             flow.start()
             answer = await flow.answer
+            if isinstance(answer, Got):
+                assert isinstance(answer.body, bytes)
+                self.judge.delivered(asked, answer.status, answer.body)
             self.answered(asked, answer.status, then)
             flow.close(True)
 
@@ -465,7 +480,38 @@
 
         async def settle() -> None:
             outcome = await part.settle(call)
-            self.clock.after(MS, lambda: settled(outcome))
+            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            self.clock.after(MS, lambda: settled(told))
+
+        loop.call_soon(lambda: loop.create_task(settle()))
+
+    def call(
+        self,
+        name: str,
+        call: operator_api.Call,
+        then: Callable[[Result[operator_api.Answer, Fault]], None],
+        stands_still: int = 0,
+    ) -> None:
+        """At one core machine, by a caller who waits as long as it takes.
+
+        :param then: is told what left the machine
+        :param stands_still: us for which the machine does, between the decision and the answer
+        """
+        machine = self.machines[name]
+        loop, part = machine.loop, machine.part
+        assert loop is not None and isinstance(part, ControlNode)
+
+        async def settle() -> None:
+            outcome = await part.settle(call)
+            if stands_still:
+                self.freeze(name, True)
+                self.clock.after(stands_still, lambda: self.freeze(name, False))
+                await asyncio.sleep(0)
+            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            self.judge.at = self.clock.at
+            if isinstance(told, Success) and isinstance(told.unwrap(), operator_api.Retrieved):
+                self.judge.read_out(name, version_of(told.unwrap()))
+            then(told)
 
         loop.call_soon(lambda: loop.create_task(settle()))
 
@@ -483,8 +529,10 @@
     def evacuate(self, zone: str, on: bool, then: Callable[[], None] = lambda: None) -> None:
         if not on:
             self.judge.evacuated.pop(zone, None)
+        self.judge.orders(zone, on)
 
         def done(_: operator_api.Answer) -> None:
+            self.judge.settled(zone)
             if on:
                 self.judge.evacuated[zone] = self.clock.at
             then()
@@ -496,15 +544,18 @@
     def read_back(self) -> None:
         """At the end of a run, in calm times: what is in force has to come."""
         came: list[int] = []
+        asked_at = self.clock.at
 
         def done(answer: operator_api.Answer) -> None:
-            assert isinstance(answer, operator_api.Retrieved)
-            came.append(int(json.loads(answer.body)["version"][1:]))
+            came.append(version_of(answer))
 
         self.order(operator_api.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
-        self.judge.read_back(came[0] if came else None)
+        self.judge.read_back(came[0] if came else None, asked_at)
+        part = self.machines[self.primary()].part if self.primary() else None
+        if isinstance(part, ControlNode):
+            self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
 
     # -- a run -----------------------------------------------------------------------------------
 
--- a/vetchusher/routing/patches.py
+++ b/vetchusher/routing/subsets.py
@@ -1,11 +1,11 @@
-"""The patch of an ingress: the servers of a service to which it keeps while they do well.
+"""Subsetting: the servers of a service to which one ingress prefers to send.
 
-Many ingresses share many servers.  If each sent to all, it would meet each server so seldom that its idle
-connections were forgotten in between, and its own answers told nothing of that server's health.  So each
-server is worked by a few ingresses only, as many for each, named by rendezvous hashing: one ingress or one
-server more moves only the patches that it is or was in.  Those of the server's own zone are named first.
+Many ingresses share many servers.  If each sent to all, its requests to one server would be so rare that idle
+connections expire in between and its own answers say nothing of that server's health.  So each server is
+preferred by a few ingresses, the same number for each, named by rendezvous hashing: an ingress or a server
+more or less changes only the subsets that it is in.  Ingresses of the server's own zone are named first.
 
-Kin: deterministic and rendezvous subsetting (Google's SRE book, ch. 20; Twitter's aperture).
+Source: deterministic subsetting (Google's SRE book, chapter 20; Twitter's aperture).
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 from hashlib import blake2b
 from math import ceil
 
-PATCH = 8  # servers that an ingress works, on average: it can lose a few of them and still choose
-SPARE = 2  # and so many times what it would need for its own part of the work at least
+SUBSET_SIZE = 8  # servers that an ingress prefers, on average: it can lose a few and still choose
+SPARE_FACTOR = 2  # times its even part of the servers, at the least
+MAX_CHANGED = 0.25  # of the ingresses: where more change at once, all ranks are computed anew when needed
 
-MOST_CHANGED = 0.25  # of the ingresses: where more change at once, all is reckoned anew when it is needed
 
+def ingresses_per_server(ingresses: int, servers: int) -> int:
+    """How many ingresses prefer each server.
 
-def workers(ingresses: int, servers: int) -> int:
-    """How many ingresses work each server, where so many share them: patches hold PATCH servers on average,
-    or SPARE times one ingress's part of the servers if that is more."""
+    Subsets hold SUBSET_SIZE servers on average, or SPARE_FACTOR times an even part if that is more.
+    """
     if ingresses <= 0 or servers <= 0:
         return 0
-    patch = max(PATCH, ceil(SPARE * servers / ingresses))
-    return min(ingresses, ceil(ingresses * patch / servers))
+    subset = max(SUBSET_SIZE, ceil(SPARE_FACTOR * servers / ingresses))
+    return min(ingresses, ceil(ingresses * subset / servers))
 
 
 def rank(ingress: str, instance: str) -> bytes:
@@ -48,8 +49,8 @@
     before: int = 0
 
 
-class Patches:
-    """Owner of what was reckoned, by instance; gone with the instance, or anew when many ingresses change.
+class Subsets:
+    """Owner of this ingress's place at each server; dropped with the server, or when many ingresses change.
 
     :param me: node name of this ingress
     """
@@ -60,12 +61,12 @@
         self.places: dict[str, Place] = {}  # by instance
 
     def ingresses(self, zones: Mapping[str, str]) -> bool:
-        """Those of this ingress's region that may be serving, itself among them; whether that is news."""
+        """Take the ingresses of this region that may be serving, itself included; whether they changed."""
         if zones == self.zones:
             return False
         old, self.zones = self.zones, dict(zones)
         changed = [name for name in old.keys() | zones.keys() if old.get(name) != zones.get(name)]
-        if self.me in changed or len(changed) > len(zones) * MOST_CHANGED:
+        if self.me in changed or len(changed) > len(zones) * MAX_CHANGED:
             self.places = {}
         else:
             self._change(old, changed)
@@ -85,11 +86,11 @@
         self.places = {name: place for name, place in self.places.items() if name in instances}
 
     def holds(self, instance: str, zone: str, servers: int) -> bool:
-        """Whether this ingress works that server, one of so many of its service and region.
+        """Whether this ingress prefers that server, one of so many of its service and region.
 
-        An ingress that no news names yet works all.
+        An ingress that no row names yet prefers all.
         """
-        number = workers(len(self.zones), servers)
+        number = ingresses_per_server(len(self.zones), servers)
         if self.me not in self.zones or number >= len(self.zones):
             return True
         place = self.places.get(instance)
