--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -6,17 +6,24 @@
 import sqlite3
 import tempfile
 import zlib
+from unittest import mock
 
+import orjson
 from testtools import TestCase
 
+from vetchusher.control.state import MOST_ZONES
 from vetchusher.directory.naming import entrances_of, named
 from vetchusher.directory.neighbours import Place, neighbours
 from vetchusher.directory.presence import SERVING_US, Presence
 from vetchusher.discovery.reader import Listed, Reader, read_page, read_row
+from vetchusher.distribution import source
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore, whole
 from vetchusher.distribution.source import NEVER, Source, message_of, sorted_out
 from vetchusher.distribution.subscriber import BEAT_US, FRESH_US, TOUCH_US, SendBeat, SendPull, Subscriber
+from vetchusher.kinds import Kind
+from vetchusher.node import reading
+from vetchusher.node.reading import read_whole
 
 S = 1_000_000
 
@@ -321,6 +328,33 @@
         self.assertLess(pathlib.Path(folder, "told.sqlite3").stat().st_size, 500_000)
 
 
+class Bounds(TestCase):
+    def test_a_configuration_of_more_rows_than_readers_take_is_refused_at_the_door(self):
+        """It would be acknowledged and never be in force."""
+        services = [{"name": f"s{number}"} for number in range(300)]
+        body = orjson.dumps({"version": "r1", "routes": [], "services": services})
+        read = read_whole(body).unwrap()
+        self.assertEqual(MOST_ZONES, reading.EVACUATION_ROWS)
+        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MOST_ZONES):
+            read_whole(body).unwrap()
+        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MOST_ZONES - 1):
+            self.assertEqual(Kind.INVALID, read_whole(body).failure().kind)
+
+    def test_deltas_fill_a_source_no_further_than_a_whole_may(self):
+        author, reader = Source("control"), Source("control")
+        rows = {f"route/{number}": b"x" for number in range(8)}
+        with mock.patch.object(source, "MOST_ROWS", 10):
+            author.publish((1, 1), rows)
+            self.assertTrue(reader.take(whole(author)))
+            author.publish((1, 2), rows | {"a": b"", "b": b""})
+            self.assertTrue(reader.take(author.since((1, 1))))
+            author.publish((1, 3), rows | {"b": b"", "c": b""})  # one gone, one more
+            self.assertTrue(reader.take(author.since((1, 2))))
+            author.publish((1, 4), rows | {"b": b"", "c": b"", "d": b""})
+            self.assertFalse(reader.take(author.since((1, 3))))
+            self.assertEqual(((1, 3), 10), (reader.stamp, len(reader.rows)))
+
+
 class Neighbours(TestCase):
     def test_each_knows_a_small_set_and_one_that_goes_moves_only_the_sets_it_was_in(self):
         places = {f"e{n}": Place(f"10.0.0.{n}", f"z{n % 6}", f"r{n % 3}") for n in range(30)}
--- a/vetchusher/distribution/source.py
+++ b/vetchusher/distribution/source.py
@@ -134,6 +134,10 @@
             return False
         if len(told.rows) > MOST_ROWS:
             return False
+        if not told.whole and len(self.rows) + len(told.rows) > MOST_ROWS:
+            # Danger: deltas would fill it beyond what any whole may have.
+            if len((self.rows.keys() | told.rows.keys()) - set(told.gone)) > MOST_ROWS:
+                return False
         if told.whole:
             for key in self.rows.keys() - told.rows.keys():
                 self._strike(key, told.stamp)
--- a/vetchusher/node/reading.py
+++ b/vetchusher/node/reading.py
@@ -18,13 +18,14 @@
 
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import configuration_of, rows_of
-from vetchusher.distribution.source import Told, all_sorted_out
+from vetchusher.distribution.source import MOST_ROWS, Told, all_sorted_out
 from vetchusher.kinds import Fault, Kind
 from vetchusher.settings.configuration import Configuration, read_configuration
 
 T = TypeVar("T")
 MOST_WAITING = 8  # configurations that are read or wait for it
 BACK_US = 500_000  # told to whoever comes then
+EVACUATION_ROWS = 256  # `control.state.MOST_ZONES`, which ingresses do not import
 LOOP_BYTES = 32_768  # what the loop itself reads: a few ms, less than a thread's start on a slow machine
 SWITCH_S = 0.001  # that the loop waits for its turn while the thread reads; each event may wait so long
 
@@ -39,7 +40,18 @@
 
 
 def read_whole(raw: bytes) -> Result[Read, Fault]:
-    return read_configuration(raw).map(lambda found: Read(raw, found, rows_of(found, raw, {})))
+    return (
+        read_configuration(raw).map(lambda found: Read(raw, found, rows_of(found, raw, {}))).bind(told_whole)
+    )
+
+
+def told_whole(read: Read) -> Result[Read, Fault]:
+    """Danger: what has more rows than a reader takes would be acknowledged and never be in force."""
+    most = MOST_ROWS - EVACUATION_ROWS
+    if len(read.rows) <= most:
+        return Success(read)
+    text = f"configuration: {len(read.rows)} routes, services and subscribers; {most} at most"
+    return Failure(Fault(Kind.INVALID, text))
 
 
 def uncollected(work: Callable[[Any], T], what: Any) -> T:
