--- a/tests/test_control_changes.py
+++ b/tests/test_control_changes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from itertools import product
 
 import testtools
 
@@ -169,3 +170,12 @@
         day = ChangesDay(place(5000, 5), 120, ("wiped", "primary wiped"))
         self.assertEqual([], day.run())
         self.assertTrue(all(one.read_us is not None for one in day.returns))
+
+    def test_one_that_missed_hundreds_of_changes_is_level_in_time(self) -> None:
+        """The primary, the machine without a copy and the copy in the other zone, with a disk and without."""
+        for ip, kind in product("123", ("killed", "wiped")):
+            day = ChangesDay(place(1000, 1), 250)
+            self.assertEqual([], day.away(ip, kind))
+            [back] = day.returns
+            self.assertGreaterEqual(back.missed, 250)
+            self.assertEqual(ip == "3", back.copy_us is not None)
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -46,6 +46,7 @@
 RETRY = 20 * MS
 LEVEL_US = 2 * SECOND  # within which a machine that comes back has to be level
 ANSWER_US = 200 * MS  # beyond the stated time of a trouble: messages, disks, the operator's next try
+AFTER = 100  # changes beyond a long absence
 PATIENCE = 400 * MS  # of the operator with an answer; then the same change is sent again
 KEPT_VERSIONS = 64  # bodies that the judge remembers
 
@@ -154,6 +155,18 @@
                 number += 1
         return world.judge.wrong or world.history.wrong() or self.late()
 
+    def away(self, ip: str, kind: str) -> list[str]:
+        """One machine is struck, and returns after all the changes; what was seen that may not be."""
+        world, changes = self.world, self.wanted
+        self.wanted += AFTER  # for the day to go on while it catches up
+        self.strike(ip, kind)
+        self.next_change()
+        while self.done < changes and not world.judge.wrong:
+            world.run(world.at + STEP)
+        self.mend(ip)
+        self.watch(Return(kind, ip, self.done))
+        return world.judge.wrong or world.history.wrong() or self.late()
+
     def late(self) -> list[str]:
         """Changes that waited longer, or machines that were level later, than is stated."""
         most = self.most_wait()
