--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -289,7 +289,7 @@
             f"{one.whole_writes:,}",
             f"{one.syncs / one.changes:.1f}",
             f"{one.entries}",
-            "; ".join(one.wrong) and f"WRONG {one.wrong[0]}" or "0",
+            ("; ".join(one.wrong) and f"WRONG {one.wrong[0]}") or "0",
         ]
         lines.append(f"| {' | '.join(cells)} |")
     return lines
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -28,6 +28,10 @@
     lives: dict[str, int] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
 
+    def heard_within(self, now: int, period_us: int) -> set[str]:
+        """Who was heard in that time until now."""
+        return {ip for ip, heard in self.heard_at.items() if now < heard + period_us}
+
     def apart(self, ips: set[str]) -> bool:
         """Whether they lie in more than one zone."""
         return len({self.zones.get(ip) for ip in ips}) > 1
@@ -72,8 +76,10 @@
     """It owns the members' and the learners' words (learners that stop asking are dropped), and when each
     renewal was sent."""
 
-    def __init__(self, timing: Timing, peers: Peers, first_round: int) -> None:
+    def __init__(self, timing: Timing, peers: Peers, first_round: int, began: int = 0) -> None:
+        """:param began: when the epoch did"""
         self.timing = timing
+        self.answers_from = began + timing.answer_us
         self.peers = peers
         self.round = first_round
         self.rounds: dict[int, int] = {}  # sent when
@@ -81,7 +87,13 @@
         self.learners: dict[str, ReplicaProgress] = {}
 
     def member(self, ip: str) -> ReplicaProgress:
-        return self.members.setdefault(ip, ReplicaProgress())
+        learner = self.learners.get(ip)
+        return self.members.setdefault(ip, ReplicaProgress()) if learner is None else learner
+
+    def seat(self, ip: str) -> None:
+        """A learner is a voter from now on."""
+        if ip in self.learners:
+            self.members[ip] = self.learners.pop(ip)
 
     def known(self, ip: str) -> ReplicaProgress | None:
         return self.members.get(ip) or self.learners.get(ip)
@@ -141,9 +153,13 @@
         if ip == self.peers.me:
             return True
         backup = self.member(ip)
-        ready = not backup.amnesiac and ip not in self.peers.leaving
+        ready = not backup.amnesiac and ip not in self.peers.leaving and self.answers(now, ip)
         return ready and self.heard(now, ip) and now >= backup.rested_until
 
+    def answers(self, now: int, ip: str) -> bool:
+        """Danger: one that is heard and hears nothing would be waited for with each write."""
+        return now < self.answers_from or now < self.member(ip).lease_until
+
     def forget_learners(self, now: int) -> None:
         old = [ip for ip, x in self.learners.items() if now >= x.joined_at + self.timing.learner_us]
         for ip in old:
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -205,7 +205,7 @@
             if self.done < self.wanted:
                 world.after(GAP, self.next_change)
 
-        world.replace(ip, version, answered, PATIENCE)
+        world.replace(ip, version, answered, patience=PATIENCE)
 
     def forget_old(self, version: int) -> None:
         """Bodies of some hundred kB each: the judge takes an old one for one that nobody sent."""
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -41,14 +41,37 @@
 from vetchusher.kinds import Fault, Kind
 
 from .call_history import History, Read, Wrote
-from .judge import Judge
+from .judge import Judge, committed_version, in_conflict
 
 TICK = 50 * MS
+GRACE = 5 * SECOND  # for a machine that ends in order
+SEEDS = 3  # machines that a settings file names
+SEAT_WAIT = 500 * MS  # as `node.control_node.LAST_VOTE_S`
 MOST_INBOX = 400
+PATIENCE = 4 * SECOND  # of an operator, for one answer
 Answer = Callable[[Result[bytes, Fault]], None]
 SILENT: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "no answer"))
 
 
+@dataclass(slots=True)
+class Attempt:
+    """An order that was sent and is not answered yet.
+
+    :param floor: the version that the machine asked had committed as the order came; None: none yet
+    :param given_up: whoever sent it waits no longer; the judge hears the answer all the same
+    """
+
+    order: Order
+    answer: Answer
+    floor: int | None = None
+    given_up: bool = False
+
+
+def body_of(version: int, variant: str = "") -> bytes:
+    """:param variant: tells bodies under one version apart"""
+    return b"r%d" % version + variant.encode() + b"." * 50
+
+
 @dataclass(slots=True)
 class Scene:
     """One run.
@@ -81,9 +104,9 @@
     timing: Timing = field(default_factory=Timing)
 
 
-def configuration_body(version: int, rows: int) -> bytes:
+def configuration_body(version: int, rows: int, variant: str = "") -> bytes:
     """A configuration; two versions that follow each other differ in the head and in a row or two."""
-    parts = [b"r%d" % version + b"." * 50]
+    parts = [body_of(version, variant)]
     for row in range(rows):
         changed_at = version - (version - row) % rows  # the newest version that changed this row
         parts.append(b'{"row":%d,"since":%d,"filled":"%s"}\n' % (row, changed_at, b"f" * 40))
@@ -99,6 +122,7 @@
 class Machine:
     """:param disk: what is synced on it
     :param saving: on its way there, with the life it belongs to
+    :param door: numbers of operators' orders that came while it was frozen
     :param told: what it tells readers: stamp and version of what was committed, here or where it asked
     """
 
@@ -113,9 +137,11 @@
     disk_hangs: bool = False
     disk_refuses: bool = False
     frozen: bool = False
+    gone: bool = False  # for good: it never starts again
     told: tuple[Point, int] = (START, 0)
     link_free_at: int = 0  # when what was sent has left
     inbox: list[Input] = field(default_factory=list)
+    door: list[int] = field(default_factory=list)
 
     def now(self, at: int) -> int:
         return self.offset + int(at * self.rate)
@@ -134,20 +160,26 @@
         self.judge = Judge()
         self.cuts: set[tuple[str, str]] = set()  # from, to
         self.no_writes: set[str] = set()  # letters with a state are lost on their way there
-        self.attempts: dict[int, tuple[str, Answer]] = {}
+        self.attempts: dict[int, Attempt] = {}
         self.history = History()  # of configurations; zones are the judge's
         self.events: Counter[str] = Counter()
         self.log: list[tuple[int, str, LogEvent]] = []
         self.loss, self.late = scene.loss, scene.late
         self.floors: dict[str, PersistentState] = {}  # what an import brought into an empty folder
         self.machines: dict[str, Machine] = {}
-        for number, zone in enumerate(scene.zones):
-            drawn = 1 + self.rng.choice((-1, 0, 1)) * scene.drift
-            rate = scene.rates[number] if scene.rates else drawn
-            name = f"{number + 1}"
-            self.machines[name] = Machine(name, zone, rate, self.rng.randrange(10**9))
+        for zone in scene.zones:
+            self.add(zone)
         self.seeds = list(self.machines)[: scene.seeds]
 
+    def add(self, zone: str) -> str:
+        """A machine with an empty disk, at an address of its own; it does not run yet."""
+        number = len(self.machines)
+        drawn = 1 + self.rng.choice((-1, 0, 1)) * self.scene.drift
+        rate = self.scene.rates[number] if number < len(self.scene.rates) else drawn
+        name = f"{number + 1}"
+        self.machines[name] = Machine(name, zone, rate, self.rng.randrange(10**9))
+        return name
+
     # -- time ----------------------------------------------------------------------------------
 
     def after(self, delay: int, what: Callable[[], None]) -> None:
@@ -166,13 +198,13 @@
 
     def start(self, ip: str, first: bool = False) -> None:
         machine = self.machines[ip]
-        if machine.member is not None:
+        if machine.member is not None or machine.gone:
             return
         machine.life += 1
         machine.member = Replica(
             ip,
             machine.zone,
-            self.seeds,
+            self.seeds if first else self.seeds_now(),
             first,
             machine.disk,
             self.scene.timing,
@@ -184,6 +216,13 @@
         life = machine.life
         self.after(self.rng.randrange(TICK), lambda: self.tick(machine, life))
 
+    def seeds_now(self) -> list[str]:
+        """What the settings name at a later start: the first seeds, or machines of today in their place."""
+        if not any(self.machines[ip].gone for ip in self.seeds):
+            return self.seeds
+        known = [ip for ip, machine in self.machines.items() if machine.life and not machine.gone]
+        return known[-SEEDS:]
+
     def tick(self, machine: Machine, life: int) -> None:
         if machine.life != life or machine.member is None:
             return
@@ -207,6 +246,8 @@
             if len(machine.inbox) < MOST_INBOX:
                 machine.inbox.append(event)
             return
+        if isinstance(event, Submitted) and event.number in self.attempts:
+            self.attempts[event.number].floor = committed_version(machine.member)
         for out in machine.member.handle(machine.now(self.at), event):
             self.carry(machine, out)
         self.look()
@@ -255,17 +296,45 @@
             machine.disk = machine.saving.kept
         machine.member, machine.saving, machine.frozen = None, None, False
         machine.inbox.clear()
+        machine.door.clear()
 
     def wipe(self, ip: str) -> None:
         self.kill(ip)
         self.machines[ip].disk = None
         self.judge.lost_at[ip] = self.at
 
-    def end(self, ip: str) -> None:
-        """In order, as by SIGTERM: it votes on for a while."""
+    def end(self, ip: str, then: Callable[[], None] = lambda: None) -> None:
+        """In order, as by SIGTERM: it goes on until others have taken over what it does, for a while.
+
+        :param then: what follows its end, if that was in order
+        """
         machine, life = self.machines[ip], self.machines[ip].life
         self.give(machine, Retire())
-        self.after(500 * MS, lambda: self.kill(ip) if machine.life == life else None)
+        self.after(TICK, lambda: self.ending(machine, life, self.at, then))
+
+    def ending(self, machine: Machine, life: int, began: int, then: Callable[[], None]) -> None:
+        if machine.life != life or machine.member is None:
+            return
+        seat_end = SEAT_WAIT if machine.member.seated else 0
+        needed = not machine.frozen and machine.member.needed(machine.now(self.at))
+        if self.at < began + (GRACE if needed else seat_end):
+            self.after(TICK, lambda: self.ending(machine, life, began, then))
+            return
+        self.kill(machine.ip)
+        then()
+
+    def retire_for_good(self, ip: str) -> None:
+        """In order; it never comes back."""
+
+        def gone() -> None:
+            self.machines[ip].gone = True
+
+        self.end(ip, gone)
+
+    def lose_for_good(self, ip: str) -> None:
+        """With its disk, and its address is not used again."""
+        self.wipe(ip)
+        self.machines[ip].gone = True
 
     def freeze(self, ip: str) -> None:
         self.machines[ip].frozen = True
@@ -273,6 +342,9 @@
     def thaw(self, ip: str) -> None:
         machine = self.machines[ip]
         machine.frozen = False
+        door, machine.door = machine.door, []
+        for number in door:
+            self.enter(machine, number)
         inbox, machine.inbox = machine.inbox, []
         for event in inbox:
             self.give(machine, event)
@@ -334,26 +406,37 @@
 
     # -- orders --------------------------------------------------------------------------------
 
-    def order(self, ip: str, order: Order, answer: Answer, patience: int = 4 * SECOND) -> None:
+    def order(self, ip: str, order: Order, answer: Answer, patience: int = PATIENCE) -> None:
         """To any machine; one that is not the primary passes it on to the one that it takes for it."""
         self.serial += 1
-        number = self.serial
-        to = self.passed_on(ip)
-
-        def give_up() -> None:
-            if self.attempts.pop(number, None):
-                answer(SILENT)
-
-        self.after(patience, give_up)
-        if to is None:
-            self.after(10 * MS, lambda: answer(SILENT))
-            return
-        self.attempts[number] = (to, answer)
+        number, machine = self.serial, self.machines[ip]
+        self.attempts[number] = Attempt(order, answer)
+        self.after(patience, lambda: self.unanswered(number))
         if isinstance(order, Replace):
-            self.judge.sent.setdefault(order.version, order.body)
+            self.judge.sends(order.version, order.body)
         elif isinstance(order, SetEvacuation):
             self.judge.expected.pop(order.zone, None)
-        self.after(5 * MS, lambda: self.give(self.machines[to], Submitted(number, order)))
+        if not machine.frozen:
+            self.enter(machine, number)
+        elif len(machine.door) < MOST_INBOX:
+            machine.door.append(number)
+
+    def enter(self, machine: Machine, number: int) -> None:
+        """An order is read by the machine that it was sent to."""
+        order, to = self.attempts[number].order, self.passed_on(machine.ip)
+        member = machine.member
+        waited = member is not None and member.stood_still(machine.now(self.at))
+        if to is None or (waited and isinstance(order, SetEvacuation)):
+            self.after(10 * MS, lambda: self.unanswered(number))
+        else:
+            self.after(5 * MS, lambda: self.give(self.machines[to], Submitted(number, order)))
+
+    def unanswered(self, number: int) -> None:
+        """Whoever sent it waits no longer."""
+        attempt = self.attempts.get(number)
+        if attempt is not None and not attempt.given_up:
+            attempt.given_up = True
+            attempt.answer(SILENT)
 
     def passed_on(self, ip: str) -> str | None:
         member = self.machines[ip].member
@@ -365,33 +448,60 @@
         return to if not {(ip, to), (to, ip)} & self.cuts else None
 
     def done(self, machine: Machine, out: Completed) -> None:
-        _, answer = self.attempts.pop(out.number, ("", None))
-        if answer is not None:
-            answer(out.outcome)
+        attempt = self.attempts.pop(out.number, None)
+        if attempt is None:
+            return
+        if isinstance(attempt.order, Replace):
+            self.judged(attempt, attempt.order, out.outcome)
+        if not attempt.given_up:
+            attempt.answer(out.outcome)
+
+    def judged(self, attempt: Attempt, order: Replace, outcome: Result[bytes, Fault]) -> None:
+        if isinstance(outcome, Success):
+            self.judge.acked(order.version, order.body, attempt.floor)
+        elif in_conflict(outcome):
+            self.judge.refused(order.version, order.body)
 
     def replace(
-        self, ip: str, version: int, then: Callable[[bool], None], patience: int = 4 * SECOND
+        self,
+        ip: str,
+        version: int,
+        then: Callable[[bool], None],
+        variant: str = "",
+        refused: Callable[[], None] | None = None,
+        patience: int = PATIENCE,
     ) -> None:
+        """:param variant: of the body
+        :param refused: is called in place of `then` where another body has the number
+        """
         began, number = self.at / SECOND, len(self.history.writes)
-        self.history.writes.append(Wrote(version, began))
+        self.history.writes.append(Wrote(version, began, body=variant))
 
         def answer(outcome: Result[bytes, Fault]) -> None:
             if isinstance(outcome, Success):
-                self.history.writes[number] = Wrote(version, began, self.at / SECOND)
-                self.judge.acked(version)
-            then(isinstance(outcome, Success))
+                self.history.writes[number] = Wrote(version, began, self.at / SECOND, variant)
+            elif in_conflict(outcome):
+                refused_at = self.at / SECOND
+                self.history.writes[number] = Wrote(version, began, body=variant, refused=refused_at)
+            if in_conflict(outcome) and refused is not None:
+                refused()
+            else:
+                then(isinstance(outcome, Success))
 
-        self.order(ip, Replace(version, configuration_body(version, self.scene.body_rows)), answer, patience)
+        body = configuration_body(version, self.scene.body_rows, variant)
+        self.order(ip, Replace(version, body), answer, patience)
 
-    def evacuate(self, ip: str, zone: str, on: bool, then: Callable[[bool], None]) -> None:
-        """One at a time for each zone."""
+    def evacuate(
+        self, ip: str, zone: str, on: bool, then: Callable[[bool], None], patience: int = PATIENCE
+    ) -> None:
+        """One at a time for each zone, sent again until it is answered."""
 
         def answer(outcome: Result[bytes, Fault]) -> None:
             if isinstance(outcome, Success):
                 self.judge.expected[zone] = on
             then(isinstance(outcome, Success))
 
-        self.order(ip, SetEvacuation(zone, on), answer)
+        self.order(ip, SetEvacuation(zone, on), answer, patience)
 
     def retrieve(self, ip: str, then: Callable[[int | None], None]) -> None:
         """`then` is told the version that was read, None without an answer."""
