--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 PYTHON = .venv/bin/python
 
 .PHONY: build dev test lint run run-daemon bench-counter-loss bench-counter-loss-sockets bench-duties bench-duties-processes bench-members bench-control \
-	bench-members-processes bench-core bench-capacity
+	bench-members-processes bench-core bench-capacity bench-control-changes
 
 build:
 	sh deploy/build
@@ -68,3 +68,7 @@
 	$(PYTHON) -m benchmarks.capacity fleet --keep benchmarks/results/capacity-fleet.md
 	$(PYTHON) -m benchmarks.capacity joining --keep benchmarks/results/capacity-joining.md
 	$(PYTHON) -m benchmarks.capacity loopback --keep benchmarks/results/capacity-loopback.md
+
+bench-control-changes: dev
+	$(PYTHON) -m benchmarks.control_changes all --keep benchmarks/results/control-changes.md \
+		--chart benchmarks/results/control-changes.png
