--- a/benchmarks/core_campaign.py
+++ b/benchmarks/core_campaign.py
@@ -1,20 +1,22 @@
 """The control state under faults: real core processes on loopback, and operators who race.
 
 Usage:
-  core_campaign play [--rounds N] [--tiers N] [--sizes LIST] [--seed N] [--jobs N] [--calm N] [--keep FILE]
+  core_campaign play [--rounds N] [--tiers N] [--sizes LIST] [--seed N] [--jobs N] [--calm N] [--logs FOLDER]
+                     [--keep FILE]
   core_campaign (-h | --help)
 
 Each round plays every kind of fault once, in an order drawn from the seed.  All calls of a tier are checked
-as one history (vetchusher/emulator/call_history.py).
+as one history (vetchusher/emulator/control/call_history.py).
 
 Options:
-  --rounds N    For each tier [default: 10].
-  --tiers N     Of each size [default: 2].
-  --sizes LIST  Core machines of a tier [default: 3,5].
-  --seed N      The first tier's [default: 1].
-  --jobs N      Tiers at the same time [default: 2].
-  --calm N      Changes acknowledged while nothing is wrong, before the first fault [default: 200].
-  --keep FILE   Write the table there, as Markdown.
+  --rounds N     For each tier [default: 10].
+  --tiers N      Of each size [default: 2].
+  --sizes LIST   Core machines of a tier [default: 3,5].
+  --seed N       The first tier's [default: 1].
+  --jobs N       Tiers at the same time [default: 2].
+  --calm N       Changes acknowledged while nothing is wrong, before the first fault [default: 200].
+  --logs FOLDER  Logs and disks of tiers in which anything was wrong are kept there.
+  --keep FILE    Write the table there, as Markdown.
 """
 
 from __future__ import annotations
@@ -22,6 +24,7 @@
 import asyncio
 import os
 import pathlib
+import shutil
 import sys
 import tempfile
 from collections import Counter
@@ -30,15 +33,22 @@
 from typing import Any
 
 from vetchusher.control import Timing
-from vetchusher.emulator.control.process_faults import FAULTS
-from vetchusher.emulator.control.process_rig import PATIENCE_S, CoreRig, Found
+from vetchusher.emulator.control.process_faults import FAULTS, faults_for
+from vetchusher.emulator.control.process_rig import CATCH_UP_S, PATIENCE_S, CoreRig, Found
 
 from .table import keep_table
 
 T = Timing()
 # Until the voters are free of the old lease; a candidate's pause; its questions, as the dead answer none.
 TAKEOVER_S = (T.lease_us + T.pause_us + T.probe_us) / 1e6
-OTHERS = ("kill another", "wipe another", "stop another", "cut off another")
+OTHERS = (
+    "kill another",
+    "wipe another",
+    "stop another",
+    "cut off another",
+    "replace another",
+    "replace another as planned",
+)
 # By the settings, from when a majority is up.  Of those others one may be the only one in a second zone.
 BOUNDS_S = {kind: T.other_zone_us / 1e6 if kind in OTHERS else TAKEOVER_S for kind in FAULTS}
 # It renews until the last answer has run out, and asks on for a while.
@@ -50,29 +60,36 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))] if ordered else 0.0
 
 
-def play(size: int, seed: int, rounds: int, calm: int) -> Found:
+def play(size: int, seed: int, rounds: int, calm: int, logs: str) -> Found:
     async def script(rig: CoreRig) -> None:
         await rig.calm(calm)
+        kinds = faults_for(size)
         for _ in range(rounds):
-            for kind in rig.rng.sample(list(FAULTS), len(FAULTS)):
+            for kind in rig.rng.sample(kinds, len(kinds)):
                 await rig.strike(kind, FAULTS[kind])
+                strikes = rig.found.struck + rig.found.replaced
+                print(f"{size} machines, seed {seed}: {kind}; {strikes} in all", file=sys.stderr, flush=True)
 
     with tempfile.TemporaryDirectory() as folder:
         rig = CoreRig(pathlib.Path(folder), size, seed)
         try:
-            return asyncio.run(rig.run(script))
+            asyncio.run(rig.run(script))
         except (TimeoutError, OSError) as end:
             rig.found.wrong.append(f"the run ended: {str(end)[:2_000]!r}")
-            return rig.found
+            rig.found.wrong += rig.found.history.wrong()
+        if rig.found.wrong and logs:
+            shutil.copytree(folder, pathlib.Path(logs) / f"{size}-{seed}", dirs_exist_ok=True)
+    return rig.found
 
 
 def play_table(told: Mapping[str, Any]) -> list[str]:
     sizes, tiers = [int(size) for size in told["--sizes"].split(",")], int(told["--tiers"])
     runs = [(size, int(told["--seed"]) + n) for n in range(tiers) for size in sizes]
     rounds, calm = int(told["--rounds"]), int(told["--calm"])
+    logs = [told["--logs"] or ""] * len(runs)
     with ProcessPoolExecutor(int(told["--jobs"])) as pool:
         parts = zip(*runs, strict=True)
-        found = list(pool.map(play, *parts, [rounds] * len(runs), [calm] * len(runs)))
+        found = list(pool.map(play, *parts, [rounds] * len(runs), [calm] * len(runs), logs))
     lines = [
         f"Load of the machine while it ran: {os.getloadavg()[1]:.0f} on {os.cpu_count()} processors.",
         "",
@@ -83,7 +100,7 @@
 
 
 def size_table(size: int, found: Sequence[Found]) -> list[str]:
-    struck = sum(f.struck for f in found)
+    struck, replaced = sum(f.struck for f in found), sum(f.replaced for f in found)
     history = [f.history for f in found]
     acknowledged = sum(w.ended < float("inf") for h in history for w in h.writes)
     acknowledged += sum(o.acknowledged for h in history for o in h.orders)
@@ -93,7 +110,7 @@
     lines = [
         f"## {size} core machines, {len(found)} tiers",
         "",
-        f"{struck} processes killed or wiped; "
+        f"{struck} processes killed or wiped, {replaced} machines replaced: {struck + replaced} in all; "
         f"{sum(len(h.writes) + len(h.orders) for h in history)} changes sent, "
         f"{acknowledged} acknowledged, {sum(len(h.reads) for h in history)} read back, "
         f"{sum(len(h.seen) for h in history)} looks at zones on the disks; lost, older or never sent: "
@@ -109,12 +126,13 @@
         "| fault | times | median | 99th | most | up: median | 99th | most | bound | above it |",
         "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |",
     ]
-    for kind in FAULTS:
+    for kind in faults_for(size):
         s = [o.s for f in found for o in f.outages if o.kind == kind]
         up = [o.up_s for f in found for o in f.outages if o.kind == kind]
         cells = [*(f"{part(x, q):.2f}" for x in (s, up) for q in (0.5, 0.99, 1.0)), f"{BOUNDS_S[kind]:.1f}"]
         above = sum(one > BOUNDS_S[kind] for one in up)
         lines.append(f"| {kind} | {len(s)} | {' | '.join(cells)} | {above} |")
+    lines += successors(found)
     lines += [
         "",
         f"Answers at doors of running processes to callers who wait {PATIENCE_S:g} s:",
@@ -130,6 +148,33 @@
     return [*lines, ""]
 
 
+def successors(found: Sequence[Found]) -> list[str]:
+    """How long a seat took to be handed on."""
+    seats, leaves = [one for f in found for one in f.seats], [one for f in found for one in f.leaves]
+    lines = [
+        "",
+        "Seconds until a set of voters with the successor stood, none of those gone in it: from the start of "
+        "its process, or from the SIGTERM to the one that it replaces as planned; *up*: from when its door "
+        "is open.",
+        "",
+        "| replacement | seats | median | 99th | most | up: median | 99th | most | bound | above it |",
+        "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |",
+    ]
+    for kind in sorted({one.kind for one in seats}):
+        s = [one.s for one in seats if one.kind == kind]
+        up = [one.up_s for one in seats if one.kind == kind]
+        cells = [f"{part(x, q):.2f}" for x in (s, up) for q in (0.5, 0.99, 1.0)]
+        above = sum(one > CATCH_UP_S for one in s)
+        lines.append(f"| {kind} | {len(s)} | {' | '.join(cells)} | {CATCH_UP_S:.1f} | {above} |")
+    s, killed = [one.s for one in leaves], sum(one.killed for one in leaves)
+    return [
+        *lines,
+        "",
+        f"{len(leaves)} machines left as planned: seconds from SIGTERM to the exit, median "
+        f"{part(s, 0.5):.2f}, most {part(s, 1.0):.2f}; {killed} were killed as their grace was over.",
+    ]
+
+
 def main(argv: list[str]) -> int:
     return keep_table(__doc__, {"play": play_table}, argv, "core_campaign", ("WRONG",))
 
--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -164,3 +164,13 @@
             found = asyncio.run(CoreRig(pathlib.Path(folder), 3, seed=7).run(script))
         self.assertThat(found.wrong, Equals([]))
         self.assertThat(len(found.outages), Equals(3))
+
+    def test_a_successor_takes_the_seat_of_one_that_is_lost_or_leaves(self):
+        async def script(rig):
+            for kind in ("replace the primary", "replace another as planned"):
+                await rig.strike(kind, FAULTS[kind])
+
+        with tempfile.TemporaryDirectory() as folder:
+            found = asyncio.run(CoreRig(pathlib.Path(folder), 3, seed=8).run(script))
+        self.assertThat(found.wrong, Equals([]))
+        self.assertThat((found.replaced, len(found.seats), len(found.leaves)), Equals((2, 2, 1)))
--- a/vetchusher/emulator/control/process_faults.py
+++ b/vetchusher/emulator/control/process_faults.py
@@ -1,5 +1,5 @@
-"""What is done to real core processes: kills, wipes, stops, cuts.  Each begins when its function returns, and
-ends with what that returned."""
+"""What is done to real core processes: kills, wipes, stops, cuts, replacements.  Each begins when its
+function returns, and ends with what that returned."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 from vetchusher.emulator.system.local import Machine
 
+from .process_replacement import REPLACEMENTS
 from .process_rig import CoreRig, Fault, Mend
 
 
@@ -119,4 +120,11 @@
     "the primary is not heard": primary_unheard,
     "the primary hears nobody": primary_deaf,
     "cut in two, the primary in the smaller": cut_in_two,
+    **REPLACEMENTS,
 }
+LOSES_TWO = ("replace two at once",)  # disks at a time: where a majority of 5 is left
+
+
+def faults_for(size: int) -> list[str]:
+    """The kinds that so many machines are to bear."""
+    return [kind for kind in FAULTS if size >= 5 or kind not in LOSES_TWO]
--- /dev/null
+++ b/vetchusher/emulator/control/process_replacement.py
@@ -0,0 +1,228 @@
+"""Real core processes replaced: a machine is gone for good, and another takes its seat at another address.
+
+After each replacement the voters are just the machines of today, on every disk: as many as before, and the
+one that is gone in no electorate.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Mapping, Sequence
+
+from vetchusher.control.state import place, voters
+from vetchusher.distribution.wire_pb2 import ReplicaSet
+from vetchusher.emulator.system.local import Machine
+from vetchusher.node.folders import kept_in
+
+from .process_rig import DOWN_S, REGAIN_S, CoreRig, Fault, Leave, Mend, Seat, internal_port
+
+LOOK_S = 0.1  # between two looks at the disks
+
+
+# -- the steps of a replacement ---------------------------------------------------------------------
+
+
+async def lose(rig: CoreRig, machines: Sequence[Machine]) -> None:
+    """Killed, the disk gone, never back."""
+    rig.serving -= {m.name for m in machines}
+    await asyncio.gather(*(rig.apiary.kill(m.name) for m in machines))
+    for machine in machines:
+        remove(rig, machine)
+
+
+def remove(rig: CoreRig, machine: Machine) -> None:
+    """A machine whose process has ended is one of today's no more."""
+    rig.apiary.remove_core(machine.name)
+    rig.cuts.remove(machine.ip)
+    rig.gone.append(machine)
+    rig.found.replaced += 1
+
+
+async def start_successor(rig: CoreRig, zone: str) -> tuple[Machine, float]:
+    """A machine at a new address with an empty disk, as soon as its door is open, and when it was started."""
+    machine = rig.apiary.add_core(zone)
+    machine.internal = internal_port(machine)
+    await rig.cuts.add(machine.ip, machine.internal)
+    started = time.monotonic()
+    await rig.begin(machine, down=0)
+    return machine, started
+
+
+async def start_successor_later(rig: CoreRig, zone: str) -> float:
+    """When it was started."""
+    await asyncio.sleep(rig.rng.uniform(*DOWN_S))
+    _, started = await start_successor(rig, zone)
+    return started
+
+
+def start_successors_later(rig: CoreRig, kind: str, lost: Sequence[Machine]) -> Mend:
+    async def mend() -> None:
+        started = await asyncio.gather(*(start_successor_later(rig, m.zone) for m in lost))
+        rig.back_at = opened = time.monotonic()
+        stood = await voters_of_today(rig)
+        rig.found.seats += [Seat(kind, stood - at, max(0.0, stood - opened)) for at in started]
+
+    return mend
+
+
+async def leave(rig: CoreRig, kind: str, machine: Machine) -> None:
+    """Until the process has ended after its SIGTERM, or its grace is over: then it is killed."""
+    process, told = machine.process, time.monotonic()
+    assert process is not None
+    try:
+        await asyncio.wait_for(process.wait(), rig.apiary.bounds.grace_s)
+        killed = False
+    except TimeoutError:
+        await rig.apiary.kill(machine.name)
+        killed = True
+    rig.found.leaves.append(Leave(kind, time.monotonic() - told, killed))
+    remove(rig, machine)
+
+
+# -- who votes, by the disks ------------------------------------------------------------------------
+
+
+async def record_of(machine: Machine) -> ReplicaSet | None:
+    """The replica set on the disk of a machine that may be writing; None: none, or it could not be read just
+    then."""
+    kept = (await asyncio.to_thread(kept_in, str(machine.disk))).value_or(None)
+    return kept.record if kept is not None else None
+
+
+async def records(rig: CoreRig) -> list[ReplicaSet]:
+    found = await asyncio.gather(*(record_of(m) for m in rig.apiary.core))
+    return [one for one in found if one is not None and one.members]
+
+
+def names_today(rig: CoreRig, record: ReplicaSet) -> bool:
+    """Whether the voters are just the machines of today, as many as there should be, and no change is under
+    way."""
+    today = {m.ip for m in rig.apiary.core}
+    return voters(record) == today and len(record.members) == rig.size and not record.previous_members
+
+
+async def voters_of_today(rig: CoreRig) -> float:
+    """Until every disk says so; when the newest was on a majority of them, and so stood."""
+    end, stood, told = time.monotonic() + REGAIN_S, 0.0, [ReplicaSet()]
+    while time.monotonic() < end:
+        told = await records(rig)
+        newest = max(map(place, told), default=(0, 0))
+        holding = [one for one in told if place(one) == newest and names_today(rig, one)]
+        if len(holding) <= rig.size // 2:
+            stood = 0.0
+        elif not stood:
+            stood = time.monotonic()
+        if len(holding) == rig.size:
+            return stood
+        await asyncio.sleep(LOOK_S)
+    shown = "; ".join(f"{place(one)}: {list(one.members)} {list(one.previous_members)}" for one in told)
+    rig.found.wrong.append(
+        f"voters after a replacement are not those of today for {REGAIN_S:g} s: "
+        f"{[m.ip for m in rig.apiary.core]}, on the disks {shown}; {rig.roles()}"
+    )
+    return time.monotonic()
+
+
+async def ready_to_take_over(rig: CoreRig, successor: Machine) -> None:
+    """Until that learner's disk has the newest replica set."""
+
+    async def caught_up() -> bool:
+        held, told = await record_of(successor), await records(rig)
+        return held is not None and bool(told) and place(held) == max(map(place, told))
+
+    await rig.apiary.until(caught_up, f"{successor.name} has caught up")
+
+
+# -- the faults ------------------------------------------------------------------------------------
+
+
+async def replace_primary(rig: CoreRig) -> Mend:
+    await rig.caught_up()
+    lost = [rig.leader()]
+    await lose(rig, lost)
+    return start_successors_later(rig, "replace the primary", lost)
+
+
+async def replace_other(rig: CoreRig) -> Mend:
+    await rig.caught_up()
+    lost = [rig.other()]
+    await lose(rig, lost)
+    return start_successors_later(rig, "replace another", lost)
+
+
+async def replace_two(rig: CoreRig) -> Mend:
+    """Where two losses at a time are to be borne."""
+    await rig.caught_up()
+    lost = rig.rng.sample(rig.apiary.core, 2)
+    await lose(rig, lost)
+    return start_successors_later(rig, "replace two at once", lost)
+
+
+async def replace_other_as_planned(rig: CoreRig) -> Mend:
+    return await replace_as_planned(rig, "replace another as planned", rig.other())
+
+
+async def replace_primary_as_planned(rig: CoreRig) -> Mend:
+    """It led when its successor was started."""
+    return await replace_as_planned(rig, "replace the primary as planned", rig.leader())
+
+
+async def replace_as_planned(rig: CoreRig, kind: str, leaving: Machine) -> Mend:
+    """The successor first; SIGTERM as soon as it has caught up."""
+    await rig.caught_up()
+    successor, _ = await start_successor(rig, leaving.zone)
+    await ready_to_take_over(rig, successor)
+    process, told = leaving.process, time.monotonic()
+    assert process is not None
+    rig.serving.discard(leaving.name)
+    process.terminate()
+
+    async def mend() -> None:
+        await leave(rig, kind, leaving)
+        rig.back_at = time.monotonic()
+        s = await voters_of_today(rig) - told
+        rig.found.seats.append(Seat(kind, s, s))
+
+    return mend
+
+
+async def replace_then_wipe_other(rig: CoreRig) -> Mend:
+    """What is lost once the successor has had its time is borne like any other loss: the rest reads back and
+    acknowledges before the wiped one returns."""
+    await rig.caught_up()
+    lost = rig.rng.choice(rig.apiary.core)
+    await lose(rig, [lost])
+    await start_successor_later(rig, lost.zone)
+    rig.back_at = time.monotonic()
+    await rig.caught_up()
+    wiped = rig.rng.choice(rig.apiary.core)
+    await rig.kill([wiped])
+    restart, struck = rig.start_later([wiped], wipe=wiped), time.monotonic()
+
+    async def mend() -> None:
+        await borne(rig, struck, [m for m in rig.apiary.core if m is not wiped])
+        await restart()
+        await voters_of_today(rig)
+
+    return mend
+
+
+async def borne(rig: CoreRig, struck: float, rest: Sequence[Machine]) -> None:
+    """Until those that are left have acknowledged a change sent since, and each has read back."""
+
+    async def acknowledged() -> bool:
+        return rig.last[0] >= struck
+
+    await rig.apiary.until(acknowledged, "those that are left acknowledge")
+    await rig.read_back(rest)
+
+
+REPLACEMENTS: Mapping[str, Fault] = {
+    "replace the primary": replace_primary,
+    "replace another": replace_other,
+    "replace two at once": replace_two,
+    "replace the primary as planned": replace_primary_as_planned,
+    "replace another as planned": replace_other_as_planned,
+    "replace, then wipe another": replace_then_wipe_other,
+}
--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -89,6 +89,33 @@
     up_s: float
 
 
+@dataclass(slots=True, frozen=True)
+class Seat:
+    """A successor's.
+
+    :param s: from the start of its process until the set of voters with it stood; where the machine before it
+        left as planned, from the SIGTERM to that one
+    :param up_s: the same from when its door was open, if that was later
+    """
+
+    kind: str
+    s: float
+    up_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class Leave:
+    """Of a machine that was replaced as planned.
+
+    :param s: from SIGTERM to its exit
+    :param killed: it had not ended when its grace was over
+    """
+
+    kind: str
+    s: float
+    killed: bool
+
+
 @dataclass(slots=True)
 class Found:
     """What one run came to.
@@ -107,6 +134,9 @@
     calm_syncs: float = 0.0
     bodies: dict[int, bytes] = field(default_factory=dict)  # that were read back
     struck: int = 0  # kills and wipes of one process each
+    replaced: int = 0  # machines that are gone for good, another in the place of each
+    seats: list[Seat] = field(default_factory=list)
+    leaves: list[Leave] = field(default_factory=list)
 
 
 Fault = Callable[["CoreRig"], Awaitable[Mend]]
@@ -121,9 +151,11 @@
     def __init__(self, folder: pathlib.Path, size: int, seed: int, operators: int = 3) -> None:
         self.rng = random.Random(seed)
         zones = [ZONES[0]] * (size - size // 2) + [ZONES[1]] * (size // 2)
-        self.apiary = Apiary(folder, core=zones, edge=())
-        for number, machine in enumerate(self.apiary.core, 1):
-            machine.internal = INTERNAL - number  # each its own: what goes between two passes the cuts
+        self.size = size  # voters that there should be
+        self.apiary = Apiary(folder, core=zones, edge=(), losses=(size - 1) // 2)
+        for machine in self.apiary.core:
+            machine.internal = internal_port(machine)
+        self.gone: list[Machine] = []  # that were replaced
         self.cuts = Cuts({m.ip: m.internal for m in self.apiary.core})
         self.found = Found()
         self.next_version = 1
@@ -166,10 +198,14 @@
                 if not task.cancelled() and task.exception() is not None:
                     self.found.wrong.append(f"an operator: {task.exception()!r}")
             self.found.wrong += [
-                f"{m.name}: a traceback" for m in self.apiary.core if "Traceback" in m.log
+                f"{m.name}: a traceback" for m in self.machines() if "Traceback" in m.log
             ] + self.found.history.wrong()
         return self.found
 
+    def machines(self) -> list[Machine]:
+        """All that there were, the present ones first."""
+        return [*self.apiary.core, *self.gone]
+
     # -- operators ----------------------------------------------------------------------------------
 
     async def operate(self) -> None:
@@ -323,8 +359,11 @@
         return sum(int(line.split()[1]) for one in told for line in one.splitlines() if line[:5] == "wchar")
 
     async def read_everywhere(self) -> None:
+        await self.read_back(self.apiary.core)
+
+    async def read_back(self, machines: Sequence[Machine]) -> None:
         """Each machine's door gives the newest that was acknowledged before."""
-        for machine in self.apiary.core:
+        for machine in machines:
 
             async def answered(machine: Machine = machine) -> bool:
                 return await self.read(machine) >= 0
@@ -356,7 +395,7 @@
 
     def roles(self) -> str:
         """What each machine last said of epochs, for the report."""
-        told = {m.name: re.findall(r"\S+ I (20[1-3] .*)", m.log)[-3:] for m in self.apiary.core}
+        told = {m.name: re.findall(r"\S+ I (20[1-3] .*)", m.log)[-3:] for m in self.machines()}
         return "; ".join(f"{name} {' | '.join(lines)}" for name, lines in told.items())
 
     async def probe(self, machine: Machine, over: asyncio.Event) -> None:
@@ -413,8 +452,7 @@
         await self.apiary.until(open_, f"the door of {machine.name}")
         self.serving.add(machine.name)
         self.open_doors += 1
-        core = len(self.apiary.core)
-        if core - down + self.open_doors == core // 2 + 1:
+        if self.size - down + self.open_doors == self.size // 2 + 1:
             self.majority_at = time.monotonic()
 
     def stop_for(self, machine: Machine) -> Mend:
@@ -465,5 +503,10 @@
         self.found.history.reads.append(Read(newest.state.version, now, now, "the newest disk"))
 
 
+def internal_port(machine: Machine) -> int:
+    """Each machine's own, by its address: so what goes between two passes the cuts."""
+    return INTERNAL - int(machine.ip.rpartition(".")[2])
+
+
 def stamp(kept: Any) -> tuple[int, int]:
     return kept.state.stamp.epoch, kept.state.stamp.seq
--- a/vetchusher/emulator/cuts.py
+++ b/vetchusher/emulator/cuts.py
@@ -26,18 +26,35 @@
     def __init__(self, ports: Mapping[str, int]) -> None:
         self.ports = dict(ports)
         self.blocked: set[tuple[str, str]] = set()  # from, to: what passes no bytes now
-        self.servers: list[asyncio.Server] = []
+        self.servers: dict[tuple[str, str], asyncio.Server] = {}  # by caller and callee
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
         """:raises OSError: an address cannot be had"""
-        for caller, port in self.ports.items():
+        for caller in self.ports:
             for callee in self.ports.keys() - {caller}:
-                accept = partial(self.accepted, caller, callee)
-                self.servers.append(await asyncio.start_server(accept, callee, port))
+                await self.listen(caller, callee)
+
+    async def listen(self, caller: str, callee: str) -> None:
+        accept = partial(self.accepted, caller, callee)
+        self.servers[caller, callee] = await asyncio.start_server(accept, callee, self.ports[caller])
+
+    async def add(self, ip: str, port: int) -> None:
+        """A process more, while the others run.  :raises OSError: an address cannot be had"""
+        others = list(self.ports)
+        self.ports[ip] = port
+        for other in others:
+            await self.listen(ip, other)
+            await self.listen(other, ip)
+
+    def remove(self, ip: str) -> None:
+        """A process that has ended, and comes back no more: whoever calls it is refused."""
+        del self.ports[ip]
+        for pair in [pair for pair in self.servers if ip in pair]:
+            self.servers.pop(pair).close()
 
     async def close(self) -> None:
-        for server in self.servers:
+        for server in self.servers.values():
             server.close()
         for task in list(self.tasks):
             task.cancel()
@@ -71,7 +88,10 @@
             if {(caller, callee), (callee, caller)} & self.blocked:
                 await self.passes(caller, callee)
                 return
-            far_reader, far_writer = await asyncio.open_connection(callee, self.ports[callee])
+            port = self.ports.get(callee)
+            if port is None:  # removed since this connection was accepted
+                return
+            far_reader, far_writer = await asyncio.open_connection(callee, port)
             writers.append(far_writer)
             pumps = [
                 asyncio.ensure_future(self.pump(reader, far_writer, caller, callee)),
--- a/vetchusher/emulator/system/local.py
+++ b/vetchusher/emulator/system/local.py
@@ -61,6 +61,7 @@
     17_585,
 )
 NETS = 64  # networks tried before giving up
+LATER_CORE = range(110, 250)  # last part of the addresses of core machines that are added later
 PATIENCE_S = 180.0  # only what has already failed waits this long
 LOOK_S = 0.05  # between two looks at what is waited for
 CALL_S = 10.0  # for one call; a process that is gone answers at once by a reset
@@ -138,6 +139,7 @@
     :param bounds: other figures of the promises
     :param core: zone of each core machine; the first three are everybody's seeds
     :param edge: zone of each ingress
+    :param losses: core machines that may be lost at a time
     """
 
     def __init__(
@@ -146,8 +148,9 @@
         bounds: Bounds | None = None,
         core: Sequence[str] = CORE,
         edge: Sequence[str] = EDGE,
+        losses: int = 1,
     ) -> None:
-        self.folder, self.bounds = folder, bounds or Bounds()
+        self.folder, self.bounds, self.losses = folder, bounds or Bounds(), losses
         self.rng = random.Random(os.urandom(8))
         self.net, self.held = claim_net(self.rng)
         self.platform = PlatformStandIn(f"{self.net}1", LIST)
@@ -158,6 +161,7 @@
         self.core = [self.machine(f"core-{n}", 10 + n, zone, True) for n, zone in enumerate(core, 1)]
         self.edge = [self.machine(f"edge-{n}", 20 + n, zone, False) for n, zone in enumerate(edge, 1)]
         self.machines = {m.name: m for m in (*self.core, *self.edge)}
+        self.later_core = iter(LATER_CORE)
         self.first_start = True
         self.ids = 0
         self.session: aiohttp.ClientSession | None = None
@@ -165,6 +169,24 @@
     def machine(self, name: str, last: int, zone: str, core: bool) -> Machine:
         return Machine(name, f"{self.net}{last}", zone, self.folder / name, core)
 
+    def add_core(self, zone: str) -> Machine:
+        """One core machine more, at an address that none has had, with an empty disk; it does not run yet.
+
+        :raises OSError: all addresses have been used
+        """
+        last = next(self.later_core, None)
+        if last is None:
+            raise OSError(f"all {len(LATER_CORE)} addresses of later core machines have been used")
+        machine = self.machine(f"core-{last}", last, zone, True)
+        self.machines[machine.name] = machine
+        self.core.append(machine)
+        return machine
+
+    def remove_core(self, name: str) -> None:
+        """A core machine that does not run is gone with its disk: no settings written from now on name it."""
+        self.wipe(name)
+        self.core.remove(self.machines[name])
+
     async def __aenter__(self) -> LocalSystem:
         try:
             await self.open()
@@ -252,7 +274,7 @@
             "data_directory": str(machine.disk) if machine.core else "",
             "zones": REGIONS,
             "listen": listen,
-            "tolerance": {"machine_losses": 1, "zones": 1, "region_losses": 0},
+            "tolerance": {"machine_losses": self.losses, "zones": 1, "region_losses": 0},
             "bounds": {f: getattr(self.bounds, f) for f in Bounds.__dataclass_fields__},
             "cloud_api": {
                 "address": f"{self.platform.host}:{self.platform.port}",
