--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -6,6 +6,7 @@
 import random
 import sqlite3
 import tempfile
+from types import SimpleNamespace
 from unittest import mock
 
 from testtools import TestCase
@@ -21,9 +22,11 @@
     versions_wrong,
     zones_wrong,
 )
-from vetchusher.emulator.control.process_faults import FAULTS
+from vetchusher.emulator.control.process_faults import FAULTS, faults_for
+from vetchusher.emulator.control.process_replacement import names_today
 from vetchusher.emulator.control.process_rig import CoreRig
-from vetchusher.emulator.system.local import claim_net
+from vetchusher.emulator.cuts import Cuts
+from vetchusher.emulator.system.local import LATER_CORE, LocalSystem, claim_net
 from vetchusher.emulator.wal import Commits
 from vetchusher.node import paths
 
@@ -154,6 +157,87 @@
         self.assertThat(asyncio.run(asyncio.wait_for(script(), 30)), Equals((True, set())))
 
 
+class CutsTest(TestCase):
+    def test_a_process_that_is_added_is_reached_until_it_is_removed(self):
+        """`new` is added after `old`; its connections to `old`, and those of `old` to it, pass the cuts."""
+
+        async def listen(ip, port):
+            def greet(reader, writer):
+                writer.write(ip.encode())
+                writer.close()
+
+            return await asyncio.start_server(greet, ip, port)
+
+        async def ask(callee, port):
+            reader, writer = await asyncio.open_connection(callee, port)
+            try:
+                return (await reader.read()).decode()
+            finally:
+                writer.close()
+
+        async def script():
+            net, held = claim_net(random.Random())
+            old, new = f"{net}2", f"{net}3"
+            ports = {old: 17_558, new: 17_557}
+            cuts = Cuts({old: ports[old]})
+            servers = [await listen(ip, port) for ip, port in ports.items()]
+            try:
+                await cuts.open()
+                await cuts.add(new, ports[new])
+                found = [await ask(new, ports[old]), await ask(old, ports[new])]
+                cuts.remove(new)
+                for callee, port in ((new, ports[old]), (old, ports[new])):
+                    with self.assertRaises(ConnectionRefusedError):
+                        await ask(callee, port)
+                return found == [new, old]
+            finally:
+                await cuts.close()
+                for server in servers:
+                    server.close()
+                held.close()
+
+        self.assertTrue(asyncio.run(asyncio.wait_for(script(), 30)))
+
+
+class ReplacementTest(TestCase):
+    def test_the_voters_are_the_machines_of_today(self):
+        rig = SimpleNamespace(size=3, apiary=SimpleNamespace(core=[SimpleNamespace(ip=ip) for ip in "abc"]))
+        for members, previous, right in (
+            ("abc", "", True),
+            ("abd", "", False),  # one that is gone, and its successor has no seat
+            ("abcd", "", False),  # the successor beside the one that is gone
+            ("ab", "", False),
+            ("abc", "abd", False),  # the change is not over
+            ("abc", "abc", False),
+        ):
+            record = wire.ReplicaSet(members=members, previous_members=previous)
+            self.assertThat((members, previous, names_today(rig, record)), Equals((members, previous, right)))
+
+    def test_two_disks_at_once_are_lost_only_where_that_is_borne(self):
+        self.assertNotIn("replace two at once", faults_for(3))
+        self.assertThat(set(faults_for(5)), Equals(set(FAULTS)))
+
+    def test_a_core_machine_more_has_an_address_of_its_own_and_is_named_until_it_is_gone(self):
+        with tempfile.TemporaryDirectory() as folder:
+            system = LocalSystem(pathlib.Path(folder), edge=(), losses=2)
+            self.addCleanup(system.held.close)
+            lost, more = system.core[0], system.add_core("delta-a")
+            for machine in (lost, more):
+                machine.disk.mkdir(parents=True)
+            system.remove_core(lost.name)
+            settings = system.settings_of(more)
+            self.assertThat([m.name for m in system.core], Equals(["core-2", "core-3", more.name]))
+            self.assertIn(more.at(17_582), settings["seed_nodes"])
+            self.assertNotIn(lost.at(17_582), settings["seed_nodes"])
+            self.assertThat(settings["tolerance"]["machine_losses"], Equals(2))
+            self.assertFalse(lost.disk.exists())
+            taken = {m.ip for m in system.machines.values()} | {
+                system.add_core("gulf-a").ip for _ in LATER_CORE[1:]
+            }
+            self.assertThat(len(taken), Equals(3 + len(LATER_CORE)))
+            self.assertRaises(OSError, system.add_core, "gulf-a")
+
+
 class CoreProcessesTest(TestCase):
     def test_nothing_acknowledged_is_lost_or_read_back_older(self):
         async def script(rig):
