--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -263,7 +263,7 @@
         """,
         Scene(),
     ),
-    "a backup stopped with old letters waiting": (
+    "a backup stopped with old messages waiting": (
         """
         s       | 1 east | 2 east       | 3 west | operator
         0       |        |              |        | r5
@@ -527,9 +527,9 @@
     "a copy stands that the record does not name": "takeover",
     "an empty disk votes": "a zone's disks lost, the other zone without power",
     "an empty disk is a copy": "a zone's disks lost, the other zone without power",
-    "one who remembers is enough to the forgetful": "two disks lost, and the one copy left comes back late",
-    "the forgetful count to the forgetful": "two disks lost, and the one copy left comes back late",
-    "the forgetful begin anew at once": "a zone's disks lost, the other zone without power",
+    "one voter is enough to an amnesiac": "two disks lost, and the one copy left comes back late",
+    "amnesiacs count to one another": "two disks lost, and the one copy left comes back late",
+    "amnesiacs begin anew at once": "a zone's disks lost, the other zone without power",
     "no other zone": "a zone's disks lost, the other zone without power",
     "no margin for drift": "primary cut off, its clock slow",
     "lease counted from the answer": "primary stopped with answers waiting",
@@ -552,7 +552,7 @@
     "a copy is chosen that does not answer": "one that is heard and does not hear is soon followed",
     "a delta is put onto whatever is held": "random search",
     "a late copy is waited for": "a backup's disk hangs",
-    "letters that waited through a stop are news": "a backup stopped with old letters waiting",
+    "messages that waited through a stop are news": "a backup stopped with old messages waiting",
     "a number has any body": "one number, one body, one answer",
     "refused before the other is committed": "races",
     "sent twice, acknowledged before it is committed": "races",
@@ -662,7 +662,7 @@
         self.assertIs(first.numbers().bodies, OrderBatch(first.state, first.numbers()).numbers().bodies)
 
     def test_a_copy_comes_from_letters_to_this_life_only_and_goes_as_told(self) -> None:
-        """A copy that was lost does not come back by a late letter; a late order drops no newer copy."""
+        """A copy that was lost does not come back by a late message; a late order drops no newer copy."""
         record = first_record("123")
         kept = PersistentState(5, first_state(), "1", record, copy=False)
         member = Replica("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
--- a/vetchusher/control/__init__.py
+++ b/vetchusher/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control state: epochs, primary, copies, forgetful machines, and the store on disk.
+"""The control state: epochs, primary, copies, machines that lost their disk, and the store on disk.
 
 Owns: what the operator has ordered (configuration, evacuations), and who holds copies of it; every core
 machine runs one `Replica` (pure) and one `Store` (in a thread of its own).
--- a/vetchusher/control/durable_state.py
+++ b/vetchusher/control/durable_state.py
@@ -10,7 +10,7 @@
 
 
 class DurableState:
-    """It owns the promise, the record, the copy, and the letters that wait for the disk: of each kind the
+    """It owns the promise, the record, the copy, and the messages that wait for the disk: of each kind the
     newest for each reader, removed as they are told.
 
     One `Persist` is under way at a time; what changes meanwhile goes with the next, so a hanging disk costs
--- a/vetchusher/control/repair.py
+++ b/vetchusher/control/repair.py
@@ -30,7 +30,7 @@
 from .state import START, Point, point, stamp
 from .store import Copy, Scanned
 
-BATCH = 16  # leaves asked for in one letter
+BATCH = 16  # leaves asked for in one message
 
 
 @dataclass(slots=True, frozen=True)
@@ -218,7 +218,7 @@
         return []
 
     def under_way(self, sender: str, number: int, at: Point) -> tuple[Round, Copy] | None:
-        """The round that a letter belongs to, and the own copy, while both stand at one stamp.
+        """The round that a message belongs to, and the own copy, while both stand at one stamp.
 
         Danger: of two copies of unlike stamps neither disproves the other.
         """
--- a/vetchusher/control/store.py
+++ b/vetchusher/control/store.py
@@ -118,7 +118,7 @@
     def load(self) -> Result[PersistentState | None, Fault]:
         """What was saved last; None: nothing ever was, or the folder was imported (`floor`).
 
-        On a failure the caller goes on as with an empty disk (`first_start` false: forgetful, and all others
+        On a failure the caller goes on as with an empty disk (`first_start` false: amnesiac, and all others
         are asked); the file is put aside as `comb.sqlite3.bad` by the next save.
         """
         kept = self.bad("is spoilt") if self.broken or self.link is None else self.read(self.link)
--- a/vetchusher/control/witness.py
+++ b/vetchusher/control/witness.py
@@ -31,11 +31,11 @@
     """It owns what this machine took from primaries: what is committed, and when that was last said."""
 
     def __init__(self, memory: DurableState, voter: Voter, life: int, now: int) -> None:
-        """:param life: of this process; letters to another are not for it"""
+        """:param life: of this process; messages to another are not for it"""
         self.memory = memory
         self.voter = voter
         self.life = life
-        self.sure_from = now  # letters heard before it may have waited here while this machine stood still
+        self.sure_from = now  # messages heard before it may have waited here while this machine stood still
         self.agreed: tuple[Point, int] | None = None  # what the primary last said is in force, and when
         self.change_until = now  # as the primary last said: until then voters may be about to change
         self._committed = ControlState()
@@ -102,7 +102,7 @@
         self.voter.lease(now, sender)
         return True
 
-    # -- a primary's letters -------------------------------------------------------------------
+    # -- a primary's messages -------------------------------------------------------------------
 
     def renew(self, now: int, sender: str, renew: LeaseRenewal) -> None:
         answer = LeaseRenewalReply(
--- a/vetchusher/distribution/source.py
+++ b/vetchusher/distribution/source.py
@@ -121,7 +121,7 @@
                 add(key=key, value=kept.value)
 
     def take(self, news: wire.SourceNews) -> bool:
-        """Merge what a fellow told; False where it is not newer, or a delta that begins after this stamp."""
+        """Merge what a peer told; False where it is not newer, or a delta that begins after this stamp."""
         return self.merge(sorted_out(news))
 
     def merge(self, told: Told) -> bool:
--- a/vetchusher/emulator/control/cases.py
+++ b/vetchusher/emulator/control/cases.py
@@ -82,7 +82,7 @@
 
 
 def settled(timing: Timing = TIMING) -> State:
-    """The first machine leads, r1 is acknowledged and on all disks, no letter is on its way."""
+    """The first machine leads, r1 is acknowledged and on all disks, no message is on its way."""
     state = fresh(timing=timing)
     for cell in state.cells:
         if cell.place == 3:
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -291,7 +291,7 @@
         return found
 
     def entries(self) -> int:
-        """The largest number of entries in what one machine remembers of others and of letters."""
+        """The largest number of entries in what one machine remembers of others and of messages."""
         return max(remembered(machine) for machine in self.world.machines.values())
 
 
--- a/vetchusher/emulator/control/encoding_cases.py
+++ b/vetchusher/emulator/control/encoding_cases.py
@@ -75,7 +75,7 @@
 
 @cache
 def never_changed(kind: Any) -> bool:
-    """A state or letter, once made, is never changed (`comb.state`)."""
+    """A state or message, once made, is never changed (`control.state`)."""
     if issubclass(kind, (*ATOMS, Message, Enum, Chance, Timing, Result)):
         return True
     return bool(is_dataclass(kind) and vars(kind)["__dataclass_params__"].frozen)
--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -1,15 +1,15 @@
 """All interleavings of a small case of the control state: three machines, two changes, a few troubles.
 
 The members are the real ones, on a clock that advances in steps of half a second, by which all times are
-counted.  Letters come in any order, a step or two late, or never; saves end at any time, or are cut off by a
+counted.  Messages come in any order, a step or two late, or never; saves end at any time, or are cut off by a
 crash and are then on the disk or not; machines crash, lose their disks, stop, hear others one way only.  Each
 trouble has a budget.  At each moment every machine is asked what it would read out and what it takes to be in
 force, and the judge hears it.
 
 Bounded by `delays`, a case is followed to its end: by itself everything happens in order (saves, then
-letters as they were sent, then time), and each step out of that order is one delay.  Without that bound all
-orders are followed, to a depth.  A letter sent twice is one; ticks of different machines commute, so time and
-the ticks are one step.  Machines are not folded: they differ in zone, and by who leads.
+messages as they were sent, then time), and each step out of that order is one delay.  Without that bound all
+orders are followed, to a depth.  A message sent twice is one; ticks of different machines commute, so time
+and the ticks are one step.  Machines are not folded: they differ in zone, and by who leads.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from .encoding_cases import UNIT, Cell, Cells, clone, digest
 from .judge import Judge, committed_version, in_conflict
 
-LATE = 2 * UNIT  # a letter older than that is lost, as every question is by then
+LATE = 2 * UNIT  # a message older than that is lost, as every question is by then
 BEGIN = 100 * UNIT
 TIMING = Timing(
     renew_us=UNIT,
@@ -275,7 +275,7 @@
         return step(self.copy(budget))
 
     def ready(self) -> Iterator[tuple[str, Step]]:
-        """What happens by itself, in order: saves end, then letters come."""
+        """What happens by itself, in order: saves end, then messages come."""
         for cell in self.cells:
             if cell.saving is not None and not cell.stopped:
                 yield f"{cell.ip} has saved", partial(State.saved, cell=cell, ok=True)
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -15,7 +15,7 @@
 from vetchusher.kinds import Fault, Kind
 
 # How old what is said to be in force may be: heard within a second, from a primary whose lease had not run
-# out, in a letter that was late.
+# out, in a message that was late.
 STALE = 4 * SECOND
 
 
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -192,7 +192,7 @@
         backup.copy, backup.copy_until = max(before, backup.copy), 1 << 60
 
 
-def forgetful_remember(self: amnesia.AmnesiaRecovery, now: int) -> messages.PersistentState | None:
+def amnesiac_recovers(self: amnesia.AmnesiaRecovery, now: int) -> messages.PersistentState | None:
     record = self.record()
     if record is None:
         return None
@@ -306,9 +306,9 @@
     "a copy stands that the record does not name": ((election.Candidate, "stands", stands_unnamed),),
     "an empty disk votes": ((Replica, "__init__", remembers_nothing),),
     "an empty disk is a copy": ((durable_state.DurableState, "take", recalls_a_copy),),
-    "one who remembers is enough to the forgetful": ((amnesia.AmnesiaRecovery, "done", forgetful_remember),),
-    "the forgetful count to the forgetful": ((amnesia.AmnesiaRecovery, "remembers", all_count),),
-    "the forgetful begin anew at once": ((amnesia.AmnesiaRecovery, "anew", anew_at_once),),
+    "one voter is enough to an amnesiac": ((amnesia.AmnesiaRecovery, "done", amnesiac_recovers),),
+    "amnesiacs count to one another": ((amnesia.AmnesiaRecovery, "remembers", all_count),),
+    "amnesiacs begin anew at once": ((amnesia.AmnesiaRecovery, "anew", anew_at_once),),
     "no other zone": ((reconfiguration.Reconfiguration, "wanted", one_zone),),
     "no margin for drift": ((Replica, "__init__", counts_too_long),),
     "lease counted from the answer": ((progress.ProgressTracker, "renewed", from_the_answer),),
@@ -345,7 +345,7 @@
     "a leaving machine does not wait": ((Replica, "needed", lambda self, now: False),),
     "a delta is put onto whatever is held": ((witness, "body_of", whatever_is_there),),
     "a late copy is waited for": ((Primary, "mark_late", lambda self, now: None),),
-    "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
+    "messages that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
     "a number has any body": ((orders.OrderBatch, "replace", any_body_is_acknowledged),),
     "refused before the other is committed": ((orders.OrderBatch, "replace", refuses_at_once),),
     "sent twice, acknowledged before it is committed": (
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -44,7 +44,7 @@
     "disk hangs": lambda world, ip: setattr(world.machines[ip], "disk_hangs", True),
     "disk refuses": lambda world, ip: setattr(world.machines[ip], "disk_refuses", True),
     "disk well": lambda world, ip: world.disk_well(ip),
-    "no writes": lambda world, ip: world.no_writes.add(ip),  # large letters are lost on their way there
+    "no writes": lambda world, ip: world.no_writes.add(ip),  # large messages are lost on their way there
     "writes": lambda world, ip: world.no_writes.discard(ip),
 }
 
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -1,6 +1,6 @@
 """The control state in virtual time: machines with clocks, disks and links that fail, and a judge.
 
-The members run unchanged.  A save that is not synced when the power goes may be there or not; letters may
+The members run unchanged.  A save that is not synced when the power goes may be there or not; messages may
 be late, lost, doubled or out of order; clocks drift.
 """
 
@@ -79,7 +79,7 @@
     :param zones: of the machines, in order; the first `seeds` of them are the members at the first start
     :param drift: by which part clocks may be wrong
     :param losses: machines that may be lost at a time
-    :param late: share of the letters that take up to `late_us`
+    :param late: share of the messages that take up to `late_us`
     :param body_rows: of a configuration, beside its version; one of them differs from one version to the next
     :param link_bytes_s: of each machine's link; 0: without bound
     :param disk_bytes_s: that a disk takes; 0: without bound
@@ -159,7 +159,7 @@
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.judge = Judge()
         self.cuts: set[tuple[str, str]] = set()  # from, to
-        self.no_writes: set[str] = set()  # letters with a state are lost on their way there
+        self.no_writes: set[str] = set()  # messages with a state are lost on their way there
         self.attempts: dict[int, Attempt] = {}
         self.history = History()  # of configurations; zones are the judge's
         self.events: Counter[str] = Counter()
--- a/vetchusher/node/paths.py
+++ b/vetchusher/node/paths.py
@@ -1,6 +1,6 @@
-"""Connections between the system's processes: frames of protobuf, questions with deadlines, letters without.
+"""Connections between the system's processes: frames of protobuf, questions with deadlines, messages without.
 
-`Paths` owns every connection: those it opened, one a fellow, and those it accepted.  Each ends in
+`Paths` owns every connection: those it opened, one a peer, and those it accepted.  Each ends in
 `Channel.connection_lost`.
 """
 
@@ -18,11 +18,11 @@
 from vetchusher.events import Event, LogEvent
 
 MOST_FRAME = 20 * 1024 * 1024
-MOST_WAITING = 8 * 1024 * 1024  # bytes written to one fellow and not yet sent; what comes then is dropped
+MOST_WAITING = 8 * 1024 * 1024  # bytes written to one peer and not yet sent; what comes then is dropped
 MOST_ACCEPTED = 1024
 CONNECT_S, MOST_CONNECT_S = 0.4, 1.6  # for a connection to come up: twice as long after each that did not
 CONNECT_PAUSE_S = 0.2  # after a connection that failed
-LETTER_S = 0.7  # a letter that has waited so long for a connection is stale
+LETTER_S = 0.7  # a message that has waited so long for a connection is stale
 USED_S = 3.0  # a way that something was sent on so lately stays, whoever names its end
 SILENT_S = 1.2  # a connection on which a question timed out and nothing has come for so long is given up
 UNSENT_MS = 1_500  # bytes that no acknowledgement has come for: the path is cut
@@ -101,7 +101,7 @@
 
 
 class Peer:
-    """The way to one other process: its connection, or letters that wait for one."""
+    """The way to one other process: its connection, or messages that wait for one."""
 
     def __init__(self) -> None:
         self.channel: Channel | None = None
@@ -191,7 +191,7 @@
                 peer.channel.drop()
 
     def reach(self, ip: str) -> Channel | None:
-        """The connection to a fellow; where there is none, one is begun."""
+        """The connection to a peer; where there is none, one is begun."""
         peer = self.peer(ip)
         peer.used_at = self.loop.time()
         if peer.channel is not None:
@@ -222,7 +222,7 @@
             if now < stale_at:
                 channel.write(frame)
 
-    # -- letters and questions ----------------------------------------------------------
+    # -- messages and questions ----------------------------------------------------------
 
     def tell(self, ip: str, frame: wire.Frame) -> None:
         """Send without waiting for anything; it may be lost."""
--- a/vetchusher/node/repair.py
+++ b/vetchusher/node/repair.py
@@ -1,4 +1,4 @@
-"""Carries out what `Repair` asks for: letters, and work on the store in the thread that writes it."""
+"""Carries out what `Repair` asks for: messages, and work on the store in the thread that writes it."""
 
 from __future__ import annotations
 
