--- a/vetchusher/distribution/source.py
+++ b/vetchusher/distribution/source.py
@@ -121,7 +121,7 @@
                 add(key=key, value=kept.value)
 
     def take(self, news: wire.SourceNews) -> bool:
-        """Merge what a fellow told; False where it is not newer, or a delta that begins after this stamp."""
+        """Merge what a peer told; False where it is not newer, or a delta that begins after this stamp."""
         return self.merge(sorted_out(news))
 
     def merge(self, told: Told) -> bool:
@@ -134,6 +134,9 @@
             return False
         if len(told.rows) > MOST_ROWS:
             return False
+        # Danger: deltas would fill it beyond what any whole may have.
+        if not told.whole and self.size_with(told) > MOST_ROWS:
+            return False
         if told.whole:
             for key in self.rows.keys() - told.rows.keys():
                 self._strike(key, told.stamp)
@@ -146,6 +149,13 @@
         self.stamp = told.stamp
         return True
 
+    def size_with(self, told: Told) -> int:
+        """Rows after a delta; an upper bound where that is within what may be held."""
+        size = len(self.rows) + len(told.rows)
+        if size <= MOST_ROWS:
+            return size
+        return len((self.rows.keys() | told.rows.keys()) - set(told.gone))
+
     def _set(self, key: str, value: bytes, stamp: Stamped) -> None:
         self.gone.pop(key, None)
         self.rows[key] = StoredRow(value, stamp)
