--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -35,13 +35,16 @@
     Submitted,
     Timing,
 )
+from vetchusher.control.state import START
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.explorer import TIME
 from vetchusher.events import Event, LogEvent
 
+from .closure import Moment, unbearable
 from .encoding_cases import UNIT, Cell, Cells, clone, digest
 from .judge import Judge, committed_version, in_conflict
 
+TOLERATED = 1  # machines that may be lost at a time
 LATE = 2 * UNIT  # a message older than that is lost, as every question is by then
 BEGIN = 100 * UNIT
 TIMING = Timing(
@@ -175,6 +178,22 @@
                 if judge.version_of(seen.body) != judge.read:
                     judge = self.judging()
                 judge.reads(seen.body, judge.floor())
+        # Before the first commit nothing was promised, and a disk that was never written is no loss.
+        fault = unbearable(self.moment()) if self.judge.newest > START else None
+        if fault:
+            self.judging().say(f"a loss that is tolerated would not be borne, {fault}")
+
+    def moment(self) -> Moment:
+        """For the closure check: whoever is down, still, cut off or lost its disk lately counts as lost."""
+        cut_off = {ip for pair in self.cuts for ip in pair}
+        well, spent = {}, set()
+        for cell in self.cells:
+            member, lately = cell.member, self.judge.lost_lately(cell.ip)
+            if member is None or cell.stopped or cell.disk is None or cell.ip in cut_off or lately:
+                spent.add(cell.ip)
+            if member is not None and not member.amnesiac and cell.disk is not None:
+                well[cell.ip] = cell.disk
+        return Moment(well, frozenset(spent), frozenset(), TOLERATED, self.judge.newest)
 
     # -- what a step does ----------------------------------------------------------------------
 
