--- a/benchmarks/quota_days.py
+++ b/benchmarks/quota_days.py
@@ -16,14 +16,18 @@
 import random
 import tomllib
 from collections.abc import Iterator, Mapping
-from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
 import fire  # type: ignore[import-untyped]
 
-from .control_days import Deck, Entry, Job, days_table, played, written
+from .control_days.draw import written
+from .control_days.play import Job, play_all
+from .control_days.shuffled import ShuffledCycle
+from .control_days.table import days_table, read_days
 from .totals import told
 
+Entry = dict[str, Any]
+
 CUTS: tuple[Entry, ...] = (
     {"kind": "node_cut", "share": 0.17},
     {"kind": "node_cut", "share": 0.3, "how": "one_way"},
@@ -51,8 +55,8 @@
     """
     rng = random.Random(f"quota {site['name']} {seed}")
     offered = {trouble["kind"] for trouble in site["troubles"]}
-    cuts = Deck(rng, [entry for entry in CUTS if entry["kind"] in offered])
-    quiet = Deck(rng, [entry for entry in QUIET if entry["kind"] in offered])
+    cuts = ShuffledCycle(rng, [entry for entry in CUTS if entry["kind"] in offered])
+    quiet = ShuffledCycle(rng, [entry for entry in QUIET if entry["kind"] in offered])
     borrowed = [day for day in site["day"] if day["slot"] in ("trouble", "scale")]
     zones = [zone["name"] for zone in site["zones"]]
     for number in range(count):
@@ -65,7 +69,7 @@
             heat = {"kind": "hot_tenant", "x": rng.choice((7.0, 8.0, 9.3)), "count": rng.choice((1, 1, 2, 4))}
             struck.append({"at": round(begins, 2), **heat, "for_s": round(lasts, 1)})
         for _ in range(rng.randrange(1, 4)):
-            entry = (cuts if hot else quiet).deal()
+            entry = (cuts if hot else quiet).draw()
             if entry["kind"] in ("cold_return", "zone_loss"):
                 entry["zone"] = rng.choice(zones)
             at, lasts = rng.uniform(8.0, 18.0), rng.uniform(2.5, 6.0)
@@ -128,14 +132,16 @@
         keep: str = "",
     ) -> None:
         work = drawn_jobs(sites, into, days, seed, first)
-        with ThreadPoolExecutor(jobs) as pool:
-            for _ in pool.map(lambda job: played(job, bench, why), work):
-                pass
+        play_all(work, bench, why, jobs)
         self.table(*(str(job.beside(".json")) for job in work), keep=keep)
 
     def table(self, *reports: str, keep: str = "") -> None:
         paths = [pathlib.Path(one) for one in reports]
-        told("quota days", [*days_table(paths), "", *refused(paths)], keep)
+        told(
+            "quota days",
+            [*days_table(read_days(path.with_suffix(".toml") for path in paths)), "", *refused(paths)],
+            keep,
+        )
 
 
 if __name__ == "__main__":
