--- a/benchmarks/control_days/draw.py
+++ b/benchmarks/control_days/draw.py
@@ -26,6 +26,7 @@
 from .variants import CLOSINGS, Closing, Group, variants_of
 
 DayFile = dict[str, Any]
+CORE_CLASS = "core"
 DOWN_S = (0.5, 1.6)  # how long a closing fault lasts
 CHAIN_LENGTHS = (2, 3, 3, 4)  # of troubles that begin with a replacement
 
@@ -48,7 +49,8 @@
 
 def deployment_of(site: Mapping[str, Any]) -> Deployment:
     zones = tuple(zone["name"] for zone in site["zones"])
-    return Deployment(site["tolerate"]["machines"], site["timing"]["catch_up_s"], zones)
+    core_zones = tuple(one["zone"] for one in site["machines"] if one["class"] == CORE_CLASS)
+    return Deployment(site["tolerate"]["machines"], site["timing"]["catch_up_s"], zones, core_zones)
 
 
 def drawn_days(site: Mapping[str, Any], request: Request) -> Iterator[DayFile]:
--- a/benchmarks/control_days/scenes.py
+++ b/benchmarks/control_days/scenes.py
@@ -18,6 +18,8 @@
 MANY_CHANGES = 190
 SUCCESSOR_AFTER_S = (0.3, 1.0, 3.0, 8.0)  # from the end of a replaced machine to the start of the next
 CLOCK_STEP_MS = (800.0, 2_500.0, 9_000.0)
+WHOLE_ZONE_KINDS = ("evacuate", "cold_return", "zone_loss", "zone_cut")
+CORE_ZONE_SHARE = 0.7  # of the lost or cut zones, so many hold core machines at least
 LATE_S = 0.05  # a moment "as a link heals" lies this much before or after
 
 
@@ -53,11 +55,13 @@
 
     :param losses: core machines that may be lost at once
     :param catch_up_s: after which a returned machine counts again
+    :param core_zones: those that hold core machines
     """
 
     losses: int
     catch_up_s: float
     zones: tuple[str, ...]
+    core_zones: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,8 +91,10 @@
             fields.append(("x", self.rng.choice(SUCCESSOR_AFTER_S)))
         if variant.kind == "clock_step":
             fields.append(("x", self.rng.choice(CLOCK_STEP_MS)))
-        if variant.kind in ("evacuate", "cold_return", "zone_loss", "zone_cut"):
-            fields.append(("zone", self.rng.choice(self.deployment.zones)))
+        if variant.kind in WHOLE_ZONE_KINDS:
+            near_core = variant.group is Group.LOSS and self.rng.random() < CORE_ZONE_SHARE
+            zones = self.deployment.core_zones if near_core else self.deployment.zones
+            fields.append(("zone", self.rng.choice(zones)))
         return fields
 
     def carrier(self, at: float) -> Entry:
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -29,6 +29,7 @@
 SITE = {
     "name": "meadow",
     "zones": [{"name": "a"}, {"name": "b"}],
+    "machines": [{"class": "core", "zone": "a"}, {"class": "front", "zone": "b"}],
     "tolerate": {"machines": 1},
     "timing": {"catch_up_s": 4.0},
     "config": {"invalid": ["cut_short"]},
