--- a/benchmarks/control_days/table.py
+++ b/benchmarks/control_days/table.py
@@ -131,7 +131,7 @@
     for outcome in played:
         for kind in {event.kind for event in outcome.events if event.core}:
             by_kind[kind].append(outcome)
-    yield "Longest times without an acknowledgement on a day with each kind, whether the core was settled or not."
+    yield "Longest times without an acknowledgement on a day with each kind, settled or not."
     yield "The time after a kill includes the wait for the next change."
     yield ""
     yield "| kind | days | broken | change to acknowledgement, ms | kill to next acknowledgement, ms |"
