--- a/benchmarks/control_days/scenes.py
+++ b/benchmarks/control_days/scenes.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .shuffled import ShuffledCycle
+from .shuffled import GroupedCycle, ShuffledCycle
 from .variants import CHANGE_HOWS, Group, Value, Variant
 
 FIRST_S, LAST_S = 1.5, 27.0  # of traffic: when troubles begin
@@ -72,11 +72,11 @@
 
     rng: random.Random
     deployment: Deployment
-    repairs: ShuffledCycle[Variant]
+    repairs: GroupedCycle[Variant]
     replacements: ShuffledCycle[Variant]
-    losses: ShuffledCycle[Variant]
+    losses: GroupedCycle[Variant]
     cuts: ShuffledCycle[Variant]
-    everything: ShuffledCycle[Variant]
+    everything: GroupedCycle[Variant]
     moments: ShuffledCycle[Moment]
     carriers: ShuffledCycle[Variant]
 
@@ -235,16 +235,21 @@
     """Cycles over the variants; those that are losses of core machines also serve as second troubles."""
     core = [one for one in variants if one.group in (Group.REPLACEMENT, Group.LOSS, Group.STRAIN)]
     losses = [one for one in variants if one.group in (Group.REPLACEMENT, Group.LOSS)]
-    replacements = [one for one in variants if one.group is Group.REPLACEMENT]
     carriers = [one for one in variants if one.kind == "config_change" and one.how in CHANGE_HOWS]
     return Choices(
         rng,
         deployment,
-        replacements=ShuffledCycle(rng, replacements),
-        repairs=ShuffledCycle(rng, [*core, *replacements]),
-        losses=ShuffledCycle(rng, losses),
-        cuts=ShuffledCycle(rng, [one for one in core if one.kind == "core_cut"]),
-        everything=ShuffledCycle(rng, [one for one in variants if one.kind != "config_change"]),
+        repairs=by_kind(rng, core),
+        replacements=ShuffledCycle(rng, [one for one in losses if one.group is Group.REPLACEMENT]),
+        losses=by_kind(rng, losses),
+        cuts=ShuffledCycle(rng, [one for one in losses if one.kind == "core_cut"]),
+        everything=by_kind(rng, [one for one in variants if one.kind != "config_change"]),
         moments=ShuffledCycle(rng, list(Moment)),
         carriers=ShuffledCycle(rng, carriers),
     )
+
+
+def by_kind(rng: random.Random, variants: Sequence[Variant]) -> GroupedCycle[Variant]:
+    """Variants by kind, so that kinds with many of them do not crowd out the others."""
+    kinds = sorted({one.kind for one in variants})
+    return GroupedCycle(rng, [[one for one in variants if one.kind == kind] for kind in kinds])
--- a/benchmarks/control_days/shuffled.py
+++ b/benchmarks/control_days/shuffled.py
@@ -23,3 +23,24 @@
         if not self.left:
             self.left = self.rng.sample(self.items, len(self.items))
         return self.left.pop()
+
+
+class GroupedCycle(Generic[Item]):
+    """Draws a group, then that group's next item; large groups come more often than small ones.
+
+    A group comes once, and once more for each `PER_TURN` items that it has: one with many items does not crowd
+    out the others.
+    """
+
+    PER_TURN = 4
+
+    def __init__(self, rng: random.Random, groups: Sequence[Sequence[Item]]) -> None:
+        turns = [
+            number for number, items in enumerate(groups) for _ in range(1 + len(items) // self.PER_TURN)
+        ]
+        self.cycles = [ShuffledCycle(rng, items) for items in groups]
+        self.order = ShuffledCycle(rng, turns)
+
+    def draw(self) -> Item:
+        """The next item."""
+        return self.cycles[self.order.draw()].draw()
