--- a/benchmarks/control_days/shuffled.py
+++ b/benchmarks/control_days/shuffled.py
@@ -28,7 +28,7 @@
 class GroupedCycle(Generic[Item]):
     """Draws a group, then that group's next item; large groups come more often than small ones.
 
-    A group comes once, and once more for each `PER_TURN` items that it has: one with many items does not crowd
+    A group comes once, and once more for each `PER_TURN` items that it has: one with many does not crowd
     out the others.
     """
 
