--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -8,8 +8,10 @@
 from returns.result import Failure, Success
 from testtools.matchers import Equals
 
+from vetchusher import control
+from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.kinds import STATUS, Fault, Kind
-from vetchusher.node import operator_api
+from vetchusher.node import control_node, operator_api
 
 
 class Settler:
@@ -124,6 +126,7 @@
         for fault in (
             Fault(Kind.INVALID, "configuration.version: no"),
             Fault(Kind.NOT_FOUND, "none yet"),
+            Fault(Kind.CONFLICT, "r5 is taken by another body"),
             Fault(Kind.NOT_SETTLED, "no primary", 250_000),
             Fault(Kind.NOT_SETTLED, "no majority settled it in time"),
         ):
@@ -137,6 +140,63 @@
             )
             self.assertThat(headers.get("retry-after"), Equals(back))
 
+    def test_what_may_be_overtaken_leaves_only_while_its_backing_lasts(self):
+        """Asked as the bytes leave: a reading, a refusal for good; of what is unsettled there is nothing to
+        ask."""
+        reading = Success(operator_api.Retrieved(b"{}"))
+        unknown = Failure(Fault(Kind.NOT_FOUND, "no zone"))
+        unsettled = Failure(Fault(Kind.NOT_SETTLED, "no primary", 250_000))
+        for outcome, lasts, status, text in (
+            (reading, True, 200, None),
+            (reading, False, 503, operator_api.OVERTAKEN.text),
+            (unknown, True, 404, "no zone"),
+            (unknown, False, 503, operator_api.OVERTAKEN.text),
+            (unsettled, False, 503, "no primary"),
+        ):
+            settler = Settler(operator_api.Backed(outcome, lambda lasts=lasts: lasts))
+            ((got, headers, body),) = self.ask(settler, message("GET /configuration/retrieve"))
+            self.assertThat((got, json.loads(body).get("text")), Equals((status, text)))
+            self.assertThat("retry-after" in headers, Equals(status == 503))
+
+    def test_a_long_reading_breaks_off_where_its_backing_ends(self):
+        body, looks = b"x" * (operator_api.PIECE * 4), iter([True, True, False])
+        whole = operator_api.Backed(Success(operator_api.Retrieved(body)), lambda: True)
+        ((status, _, got),) = self.ask(Settler(whole), message("GET /configuration/retrieve"))
+        self.assertThat((status, got), Equals((200, body)))
+
+        async def script(connect, door):
+            reader, writer = await connect()
+            writer.write(message("GET /configuration/retrieve"))
+            return await reader.read(-1)
+
+        ends = operator_api.Backed(Success(operator_api.Retrieved(body)), lambda: next(looks))
+        with testtools.ExpectedException(ConnectionError):
+            got = self.talk(Settler(ends), script)
+            raise ConnectionError(f"{len(got)} of {len(body)}") if len(got) < len(body) else AssertionError
+
+    def test_what_the_primary_said_comes_through(self):
+        """Kinds of errors survive the way between two core machines; an unknown one is no refusal."""
+        for kind in (Kind.CONFLICT, Kind.INVALID, Kind.NOT_FOUND):
+            said = control_node.passed_on(wire.OrderDone(kind=kind.value, text="why"))
+            self.assertThat(said, Equals(Fault(kind, "why")))
+        for name in (Kind.NOT_SETTLED.value, "of a later release"):
+            said = control_node.passed_on(wire.OrderDone(kind=name, text="why"))
+            self.assertThat((said.status, said.retry_after_us > 0), Equals((503, True)))
+
+    def test_an_evacuation_that_may_have_waited_is_not_taken(self):
+        async def decide_here(order):
+            return operator_api.Backed(Success(order), lambda: True)
+
+        orders = (control.SetEvacuation("a", True), control.Replace(1, b""), control.Retrieve())
+        for stood_still in (False, True):
+            node = mock.Mock(decide_here=decide_here)
+            node.member.stood_still.return_value = stood_still
+            taken = [
+                isinstance(asyncio.run(control_node.ControlNode.decide(node, order, None)).outcome, Success)
+                for order in orders
+            ]
+            self.assertThat(taken, Equals([not stood_still, True, True]))
+
     def test_what_is_no_call_never_reaches_whoever_settles(self):
         settler = Settler()
         chunked = "Transfer-Encoding: chunked"
