--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -551,6 +551,7 @@
     "renews though it hears nobody": "one that is heard and does not hear is soon followed",
     "a copy is chosen that does not answer": "one that is heard and does not hear is soon followed",
     "a delta is put onto whatever is held": "random search",
+    "a late copy is waited for": "a backup's disk hangs",
     "letters that waited through a stop are news": "a backup stopped with old letters waiting",
     "a number has any body": "one number, one body, one answer",
     "refused before the other is committed": "races",
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -344,6 +344,7 @@
     ),
     "a leaving machine does not wait": ((Replica, "needed", lambda self, now: False),),
     "a delta is put onto whatever is held": ((witness, "body_of", whatever_is_there),),
+    "a late copy is waited for": ((Primary, "mark_late", lambda self, now: None),),
     "letters that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
     "a number has any body": ((orders.OrderBatch, "replace", any_body_is_acknowledged),),
     "refused before the other is committed": ((orders.OrderBatch, "replace", refuses_at_once),),
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -106,11 +106,16 @@
 
 def configuration_body(version: int, rows: int, variant: str = "") -> bytes:
     """A configuration; two versions that follow each other differ in the head and in a row or two."""
-    body = body_of(version, variant)
+    parts = [body_of(version, variant)]
     for row in range(rows):
         changed_at = version - (version - row) % rows  # the newest version that changed this row
-        body += b'{"row":%d,"since":%d,"filled":"%s"}\n' % (row, changed_at, b"f" * 40)
-    return body
+        parts.append(b'{"row":%d,"since":%d,"filled":"%s"}\n' % (row, changed_at, b"f" * 40))
+    return b"".join(parts)
+
+
+def taking(size: int, bytes_s: int) -> int:
+    """For how long (us) a link or a disk is busy with so many bytes."""
+    return size * SECOND // bytes_s if bytes_s else 0
 
 
 @dataclass(slots=True)
@@ -134,6 +139,7 @@
     frozen: bool = False
     gone: bool = False  # for good: it never starts again
     told: tuple[Point, int] = (START, 0)
+    link_free_at: int = 0  # when what was sent has left
     inbox: list[Input] = field(default_factory=list)
     door: list[int] = field(default_factory=list)
 
@@ -349,7 +355,9 @@
         assert machine.saving is None, "two saves at once"
         machine.saving = save
         life = machine.life
-        self.after(self.rng.randrange(1, self.scene.disk_us), lambda: self.saved(machine, life, save))
+        busy = taking(save.kept.state.ByteSize(), self.scene.disk_bytes_s)
+        busy += self.rng.randrange(1, self.scene.disk_us)
+        self.after(busy, lambda: self.saved(machine, life, save))
 
     def saved(self, machine: Machine, life: int, save: Persist) -> None:
         if machine.life != life or machine.saving is not save:
@@ -368,13 +376,16 @@
     # -- links ---------------------------------------------------------------------------------
 
     def send(self, machine: Machine, to: str, data: bytes) -> None:
+        leaves = taking(len(data), self.scene.link_bytes_s)
+        machine.link_free_at = max(machine.link_free_at, self.at) + leaves
+        queued = machine.link_free_at - self.at if self.scene.link_bytes_s else 0
         for _ in range(1 + (self.rng.random() < self.scene.doubled)):
             if self.rng.random() < self.loss:
                 continue
             way = self.rng.randrange(self.scene.least_us, self.scene.most_us)
             if self.rng.random() < self.late:
                 way = self.rng.randrange(self.scene.late_us)
-            self.after(way, lambda: self.deliver(machine, to, data))
+            self.after(queued + way, lambda: self.deliver(machine, to, data))
 
     def deliver(self, sender: Machine, to: str, data: bytes) -> None:
         message = ControlMessage.FromString(data)
