--- /dev/null
+++ b/tests/test_control_cut_off.py
@@ -0,0 +1,287 @@
+"""A control machine that is cut off or stands still for twenty seconds, in virtual time: it hands out nothing
+as current, confirms nothing, refuses nothing for good (docs/design/control-cut-off.md).
+
+Stories of the control state alone (`emulator/control/scenarios.py`), and of the whole system
+(`emulator/system/scenarios.py`)."""
+
+import itertools
+from typing import cast
+from unittest import mock
+
+from returns.result import Failure, Result, Success
+from testtools import TestCase
+
+from vetchusher.control import Order, Retire, Tick
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import Source
+from vetchusher.distribution.subscriber import Subscriber
+from vetchusher.emulator.control import mutations as control_mutations
+from vetchusher.emulator.control import scenarios as control_scenarios
+from vetchusher.emulator.control.world import Scene as ControlScene
+from vetchusher.emulator.fleet_world import SECOND
+from vetchusher.emulator.system.mutations import planted
+from vetchusher.emulator.system.scenarios import STOPPED, Scene, Story
+from vetchusher.emulator.system.world import World
+from vetchusher.kinds import Fault
+from vetchusher.node.control_node import ControlNode
+
+SEEDS = range(1, 4)
+
+# -- the control state alone -----------------------------------------------------------------------
+
+CONTROL = {
+    "leader, both ways, a change waiting as it returns": """
+        s     | 1 east   | 2 east | 3 west | operator
+        0     |          |        |        | r5
+        ack   | cut      |        |        |
+        3     | followed |        |        | r6, evacuate north
+        ack   |          |        |        | r9 at 1 once
+        20    | idle     |        |        | r7, return north
+        20    | joined   |        |        |
+        ack   |          |        |        | reads r7
+    """,
+    "leader hears and is not heard": """
+        s     | 1 east   | 2 east | 3 west | operator
+        0     | mute     |        |        | r5
+        ack   | idle     |        |        | r6
+        20    | joined   |        |        | r7 at 1
+        ack   |          |        |        | reads r7
+    """,
+    "leader is heard and does not hear": """
+        s     | 1 east         | 2 east | 3 west | operator
+        0     | deaf           |        |        | r5
+        3.5   | idle, followed |        |        | r6
+        20    | joined         |        |        | r7 at 1
+        ack   |                |        |        | reads r7
+    """,
+    "leader restarted inside the cut, and with it one of the others": """
+        s     | 1 east   | 2 east | 3 west | operator
+        0     | cut      |        |        |
+        3     | followed |        |        | r5
+        ack   | off      |        |        |
+        ack+1 | on       |        |        | r9 at 1 once
+        8     |          | off    |        |
+        9     |          | on     |        | r6
+        20    | idle     |        |        |
+        20    | joined   |        |        | r7
+        ack   |          |        |        | reads r7 at 1
+    """,
+    "backup, one way after the other": """
+        s     | 1 east | 2 east | 3 west | operator
+        0     |        |        | deaf   | r5
+        10    |        |        | joined | r6
+        11    |        |        | mute   | r7
+        21    |        |        | joined | r8
+        ack+6 | off    |        |        | reads r8
+    """,
+    "all from each other": """
+        s     | 1 east | 2 east | 3 west | operator
+        0     | cut    | cut    |        |
+        3     | idle   | idle   | idle   | r5 at 1 once, r6 at 2 once, r7 at 3 once
+        20    | joined | joined |        | r8
+        ack   |        |        |        | reads r8
+    """,
+    "one that starts meanwhile and reaches the cut-off leader only": """
+        s     | 1 east   | 2 east | 3 west | 4 west         | operator
+        0     | x2, x3   |        |        |                |
+        0     |          |        |        | x2, x3, on     |
+        3     | followed |        |        | idle           | r5
+        20    | idle     |        |        | idle           | r6
+        20    | joined   |        |        | joined         |
+        ack+4 | off      |        |        |                | reads r6
+    """,
+    "leader stands still with an order waiting": """
+        s     | 1 east       | 2 east | 3 west | operator
+        0     | stops        |        |        | r5 at 1 once
+        3     | followed     |        |        | r6
+        20    | goes on, cut |        |        |
+        21    | idle         |        |        | r7
+        ack   | joined       |        |        | reads r7
+    """,
+}
+
+
+def control_story(name: str, seed: int) -> list[str]:
+    return control_scenarios.Story(CONTROL[name], ControlScene(seed=seed)).run()
+
+
+class Control(TestCase):
+    def test_nothing_old_is_read_confirmed_or_in_force(self) -> None:
+        wrong = {(name, seed): control_story(name, seed)[:1] for name in CONTROL for seed in SEEDS}
+        self.assertEqual({}, {one: found for one, found in wrong.items() if found})
+
+    def test_guards_taken_out_are_found(self) -> None:
+        for fault, name in {
+            "a lease without end": "leader, both ways, a change waiting as it returns",
+            "renews though it hears nobody": "leader is heard and does not hear",
+        }.items():
+            with control_mutations.planted(fault):
+                self.assertTrue(any(control_story(name, seed) for seed in SEEDS), fault)
+
+
+# -- the whole system ------------------------------------------------------------------------------
+
+LEADER = """
+    s     | e1 gulf-a    | e2 delta-a   | core                       | servers | operator
+    1     |              |              | leader cut from core       |         |
+    4     |              |              | leader reads = 503         |         | r2
+    4     |              |              | leader evacuates = 503     |         |
+    ack+2 | /new2/ = 200 | /new2/ = 200 | leader reads = 503         |         |
+    ack+2 | /none/ = 404 |              | leader unknown zone = 503  |         | evacuate gulf-b
+    ack+2 |              |              | leader returns = 503       |         | r3
+    ack+2 |              |              | primary unknown zone = 404 |         |
+    20    |              |              | leader reads = 503         |         |
+    21    |              |              | leader joined              |         | r4
+    ack+3 | /new4/ = 200 | /new4/ = 200 | leader reads = r4          |         |
+    ack+3 |              |              | leader unknown zone = 404  |         |
+"""
+LEADER_UNHEARD = LEADER.replace("leader cut from core", "leader unheard      ")
+STANDS_STILL = """
+    s     | e1 gulf-a | e2 gulf-b | e3 delta-a | core                      | servers | operator
+    1     |           |           |            | leader reads stops = 503  |         |
+    4     |           |           |            |                           |         | r2
+    25    |           |           |            | leader unknown zone = 404 |         | r3
+    26    |           |           |            | leader reads = r3         |         |
+"""
+FOLLOWER_STANDS_STILL = """
+    s     | e1 gulf-a | e2 gulf-b | e3 delta-a | core                            | servers | operator
+    1     |           |           |            | backup reads stops = 503        |         |
+    4     |           |           |            |                                 |         | r2
+    25    |           |           |            | backup unknown zone stops = 503 |         |
+    27    |           |           |            |                                 |         | r3
+    50    |           |           |            | backup resolves stops = 503     |         |
+    72    |           |           |            | backup reads = r3               |         |
+"""
+CONFIRMED = """
+    s     | e1 gulf-a | e2 gulf-b | e3 delta-a | core                         | servers | operator
+    1     |           |           |            | leader evacuates stops = 200 |         |
+    4     |           |           |            |                              |         | r2
+    23    |           |           |            |                              |         | r3
+"""
+INGRESS_STANDS_STILL = """
+    s     | e1 gulf-a           | e2 gulf-b | e3 delta-a | core | servers | operator
+    1     | stops, /new2/ = 503 |           |            |      |         |
+    2     |                     |           |            |      |         | r2
+    21    | goes on             |           |            |      |         |
+    24    | /new2/ = 200        |           |            |      |         |
+"""
+# It knows the cut-off leader only, and by that its neighbours: they have r2, and vouch for nothing.
+STARTED_MEANWHILE = """
+    s     | e1 gulf-a | e2 gulf-b                  | e3 delta-a | core                 | servers | operator
+    1     |           | killed                     |            | leader cut from core |         | r2
+    ack   |           |                            |            | all off              |         |
+    ack+1 |           | on                         |            | leader on            |         |
+    ack+4 |           | /none/ = 503               |            | leader reads = 503   |         |
+    20    |           | /none/ = 503, /new2/ = 200 |            | all on               |         |
+    21    |           |                            |            | leader joined        |         | r3
+    ack+3 |           | /none/ = 404, /new3/ = 200 |            |                      |         |
+"""
+SYSTEM = {
+    "leader": LEADER,
+    "leader unheard": LEADER_UNHEARD,
+    "leader stands still": STANDS_STILL,
+    "follower stands still": FOLLOWER_STANDS_STILL,
+    "confirmed before it stood still": CONFIRMED,
+    "ingress stands still": INGRESS_STANDS_STILL,
+    "started meanwhile": STARTED_MEANWHILE,
+}
+
+
+def told(name: str, seed: int) -> list[str]:
+    return Story(SYSTEM[name], Scene(seed=seed)).run()
+
+
+class System(TestCase):
+    def test_nothing_old_leaves_as_current_or_for_good(self) -> None:
+        for name in SYSTEM:
+            for seed in (3, 5):
+                self.assertEqual([], told(name, seed), (name, seed))
+
+    def test_guards_taken_out_are_found(self) -> None:
+        for fault, name in {
+            "a reading leaves whatever came meanwhile": "leader stands still",
+            "a reading passed on has no age": "follower stands still",
+            "a refusal drawn from old settings": "leader",
+            "a directory's answer has no age": "follower stands still",
+            "freshness stands still with the process": "ingress stands still",
+            "a cut-off machine vouches": "started meanwhile",
+        }.items():
+            with planted(fault):
+                self.assertNotEqual([], told(name, 3), fault)
+
+
+def leader_of(world: World) -> ControlNode:
+    world.warm_up()
+    part = world.machines[world.primary()].part
+    assert isinstance(part, ControlNode)
+    return part
+
+
+class Parts(TestCase):
+    def sends(self, stands_still: int) -> bool:
+        """
+        decided   a renewal that says what is committed
+        then      the machine stands still, and goes on
+        """
+        part = leader_of(World(Scene(seed=3)))
+        told: list[str] = []
+        decided_at = part.now() + SECOND
+        times = itertools.chain([decided_at], itertools.repeat(decided_at + stands_still))
+        with (
+            mock.patch.object(part, "now", lambda: next(times)),
+            mock.patch.object(part.paths, "tell", lambda to, frame: told.append(to)),
+        ):
+            part.feed(Tick())
+        return bool(told)
+
+    def test_a_message_decided_before_the_machine_stood_still_is_lost(self) -> None:
+        self.assertTrue(self.sends(0))
+        self.assertFalse(self.sends(STOPPED))
+        with planted("messages leave however late"):
+            self.assertTrue(self.sends(STOPPED))
+
+    def passed_on(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
+        """What leaves the primary that hands over between the decision and its answer."""
+        part = leader_of(World(Scene(seed=3)))
+
+        async def submit(order: Order) -> Result[bytes, Fault]:
+            part.feed(Retire())
+            return Success(b"r1")
+
+        with mock.patch.object(part, "submit", submit):
+            try:
+                part.settle_passed(asked).send(None)
+            except StopIteration as done:
+                return cast(Result[bytes, Fault], done.value)
+        raise AssertionError("it waits")
+
+    def test_a_reading_passed_on_leaves_under_the_lease_only_and_an_acknowledgement_always(self) -> None:
+        reading = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
+        change = wire.OrderAsked(evacuate=wire.Evacuate(zone="gulf-a", on=True))
+        self.assertIsInstance(self.passed_on(reading), Failure)
+        self.assertIsInstance(self.passed_on(change), Success)
+        with planted("a reading leaves whatever came meanwhile"):
+            self.assertIsInstance(self.passed_on(reading), Success)
+
+    def fresh_after_a_late_vector(self) -> bool:
+        """
+        s      a                               the ingress, which holds 1.5
+        1      1.6, in force --------------->  not fresh
+        1.1    1.5, in force, sent before -->  not fresh still
+        """
+
+        def heard(seq: int) -> wire.HeartbeatReply:
+            vector = [wire.SourceAt(source="control", stamp=wire.Stamp(epoch=1, seq=seq))]
+            return wire.HeartbeatReply(vector=vector, members=["a"], primary="a", in_force=True)
+
+        control = Source("control")
+        control.publish((1, 5), {})
+        follower = Subscriber(["a"], {"control": control})
+        follower.heard_beat(SECOND, "a", SECOND, heard(6))
+        follower.heard_beat(SECOND + 1, "a", 0, heard(5))
+        return follower.fresh(SECOND + 1)
+
+    def test_a_vector_told_unasked_that_waited_behind_a_cut_lowers_nothing(self) -> None:
+        self.assertFalse(self.fresh_after_a_late_vector())
+        with planted("a late vector lowers what was told"):
+            self.assertTrue(self.fresh_after_a_late_vector())
--- a/vetchusher/control/witness.py
+++ b/vetchusher/control/witness.py
@@ -20,9 +20,10 @@
 )
 from vetchusher.events import Event, LogEvent
 
+from .deltas import body_of
 from .durable_state import DurableState
 from .messages import Committed, Output, Send
-from .state import START, Point, at, place, point, stamp, with_configuration
+from .state import START, Point, at, place, point, stamp, voters, with_body, with_configuration
 from .voter import Voter
 
 
@@ -36,6 +37,7 @@
         self.life = life
         self.sure_from = now  # letters heard before it may have waited here while this machine stood still
         self.agreed: tuple[Point, int] | None = None  # what the primary last said is in force, and when
+        self.change_until = now  # as the primary last said: until then voters may be about to change
         self._committed = ControlState()
         self.out: list[Output] = []
 
@@ -62,7 +64,7 @@
         wait = self.wait(now, sender, ask.released)
         if ask.epoch == 0:
             wait = max(wait, self.voter.patience(now, sender))
-            if sender not in self.memory.record.members and not self.amnesiac:
+            if sender not in voters(self.memory.record) and not self.amnesiac:
                 self.join(now, Join(ip=sender))  # it was left out while it was away
         elif not self.amnesiac and not wait and ask.epoch > self.memory.promised:
             self.promise(now, sender, ask.epoch)
@@ -117,6 +119,8 @@
         answer.stamp.CopyFrom(stamp(memory.synced_stamp))
         answer.record.CopyFrom(stamp(place(memory.record)))
         self.agree(now, renew.committed)
+        if renew.changing:
+            self.change_until = now + self.voter.timing.heard_us
         # Danger: an epoch taken from its primary is a promise too: like a record, told only from the disk.
         self.out += memory.tell(sender, ControlMessage(renewed=answer), memory.office_number)
 
@@ -131,7 +135,7 @@
         if not self.memory.copy or at(write.state) > at(self.memory.state):
             state: ControlState | None = write.state
             if write.state.configuration_left_out:
-                state = with_configuration(write.state, self.memory.state) if self.memory.copy else None
+                state = filled(write, self.memory.state) if self.memory.copy else None
             if state is None:
                 answer.accepted, answer.need_whole = False, True
                 self.out.append(Send(sender, ControlMessage(written=answer)))
@@ -166,3 +170,11 @@
 
     def note(self, event: Event, **facts: object) -> None:
         self.out.append(LogEvent(event, facts))
+
+
+def filled(write: Write, held: ControlState) -> ControlState | None:
+    """The state of a write without its configuration, from the copy held here; None: that is not enough."""
+    if not write.HasField("delta"):
+        return with_configuration(write.state, held)
+    body = body_of(write.delta, held.configuration)
+    return with_body(write.state, body) if body is not None else None
--- a/vetchusher/node/operator_api.py
+++ b/vetchusher/node/operator_api.py
@@ -24,6 +24,8 @@
 from vetchusher.net.door import ClientLink, Door
 from vetchusher.net.plain import seconds_text
 
+from .callers import hung_up, waited_s
+
 log = logging.getLogger("vetchusher")
 
 PLACES = 256  # connections at once at a door
@@ -36,6 +38,7 @@
 POLL_S = 0.02
 BACK_US = 500_000  # told to a caller where nothing says when to come back
 MOST_NAME = 255  # characters of a zone's or host's name
+PIECE = 1 << 16  # bytes of a long reading that are written between two looks at what backs it
 
 
 # -- calls and their answers ---------------------------------------------------------------------
@@ -100,8 +103,32 @@
 
 Call = ReplaceConfiguration | RetrieveConfiguration | InitiateEvacuation | TerminateEvacuation | AskResolution
 Answer = Replaced | Retrieved | EvacuationSet | Resolved
+
+
+@dataclass(slots=True, frozen=True)
+class Backed:
+    """An outcome drawn from a state that may be overtaken: a reading, or a refusal for good.
+
+    An acknowledgement needs no backing: what is synced on enough disks stays so.
+
+    :param lasts: whether what it was drawn from still holds; asked right before the bytes leave
+    """
+
+    outcome: Result[Any, Fault]
+    lasts: Callable[[], bool]
+
+    def leaving(self) -> Result[Any, Fault]:
+        """The outcome as it may leave at this moment.
+
+        Danger: a machine may stand still between the decision and its answer, and be followed meanwhile.
+        """
+        final = not isinstance(self.outcome, Failure) or self.outcome.failure().kind is not Kind.NOT_SETTLED
+        return Failure(OVERTAKEN) if final and not self.lasts() else self.outcome
+
+
+OVERTAKEN = Fault(Kind.NOT_SETTLED, "what this was drawn from may be overtaken")
 # It may be cancelled at any time, as its caller may leave: what it began may then be in force or not.
-Settle = Callable[[Any], Awaitable[Result[Any, Fault]]]
+Settle = Callable[[Any], Awaitable[Result[Any, Fault] | Backed]]
 Refused = Callable[[Call, Fault], None]
 
 
@@ -117,6 +144,14 @@
     body: bytes
 
 
+@dataclass(slots=True, frozen=True)
+class Reply:
+    """What came of a call; it is written only as it leaves."""
+
+    call: Call
+    backed: Backed
+
+
 @dataclass(slots=True, frozen=True)
 class Way:
     """:param bodied: its body is a part of the call; else whatever comes is read and forgotten"""
@@ -195,6 +230,17 @@
     return response
 
 
+def overtaken() -> web.Response:
+    response = written(Failure(Fault(Kind.NOT_SETTLED, "this machine stood still")))
+    response.force_close()
+    return response
+
+
+def patience_s(parts: list[bytes]) -> float:
+    """Seconds for which a caller waits for the answer, from the last byte of its body."""
+    return min(ANSWER_S + sum(map(len, parts)) * ANSWER_BYTE_S, SETTLE_S)
+
+
 # -- the doors -----------------------------------------------------------------------------------
 
 
@@ -250,13 +296,17 @@
         link = request.protocol
         assert isinstance(link, ClientLink)
         try:
-            response = await self.answer(request, link)
+            reply = await self.answer(request, link)
+            response = self.leaving(reply) if isinstance(reply, Reply) else reply
             if self.closing:
                 response.force_close()
             # A caller that has left: what it asked for stands, and nobody is there to be told.
             with contextlib.suppress(ConnectionError):
                 # Danger: who asks for long answers and reads none would hold them all.
                 async with asyncio.timeout(READ_S):
+                    long = isinstance(response.body, bytes) and len(response.body) > PIECE
+                    if isinstance(reply, Reply) and long:
+                        return await send_in_pieces(request, link, response, reply.backed.lasts)
                     await response.prepare(request)
                     await response.write_eof()
                     await request.writer.drain()
@@ -266,7 +316,14 @@
             link.answered()
         return response
 
-    async def answer(self, request: web.BaseRequest, link: ClientLink) -> web.Response:
+    def leaving(self, reply: Reply) -> web.Response:
+        """The answer of a call as it may leave now.  Nothing may wait between this and the writing."""
+        outcome = reply.backed.leaving()
+        if isinstance(outcome, Failure) and self.refused is not None:
+            self.refused(reply.call, outcome.failure())
+        return written(outcome)
+
+    async def answer(self, request: web.BaseRequest, link: ClientLink) -> web.Response | Reply:
         path, _, _ = request.raw_path.partition("?")
         found = [(way, match) for way in self.ways if (match := way.path.fullmatch(path)) is not None]
         if not found:
@@ -279,7 +336,12 @@
             problem = await self.body(request, link, way, parts)
             if problem is not None:
                 return problem
-            return await self.settled(way, Asked(match.groupdict(), dict(request.query), b"".join(parts)))
+            waited = waited_s(link.wire)
+            if hung_up(link.wire) or waited >= patience_s(parts):
+                # Danger: its caller has given the same order to another machine, and others since.
+                return overtaken()
+            asked = Asked(match.groupdict(), dict(request.query), b"".join(parts))
+            return await self.settled(way, asked, patience_s(parts) - waited)
         finally:
             self.held -= sum(map(len, parts))
 
@@ -312,20 +374,43 @@
             return refused(400, " ".join(str(err).split())[:MOST_NAME])
         return None
 
-    async def settled(self, way: Way, asked: Asked) -> web.Response:
+    async def settled(self, way: Way, asked: Asked, left_s: float) -> web.Response | Reply:
+        """:param left_s: for which the caller still waits"""
         read = way.read(asked)
         if isinstance(read, Failure):
             return written(read)
         call = read.unwrap()
-        patience_s = min(ANSWER_S + len(asked.body) * ANSWER_BYTE_S, SETTLE_S)
+        outcome: Result[Answer, Fault] | Backed
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(left_s):
                 outcome = await self.settle(call)
         except TimeoutError:
-            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {patience_s:.1f} s"))
-        if isinstance(outcome, Failure) and self.refused is not None:
-            self.refused(call, outcome.failure())
-        return written(outcome)
+            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {left_s:.1f} s"))
+        return Reply(call, outcome if isinstance(outcome, Backed) else Backed(outcome, lambda: True))
+
+
+async def send_in_pieces(
+    request: web.BaseRequest, link: ClientLink, whole: web.Response, lasts: Callable[[], bool]
+) -> web.StreamResponse:
+    """A long answer, broken off where what backs it ends before its last piece is written.
+
+    Danger: what the kernel does not take at once waits in this process, as long as that stands still.
+    """
+    body = whole.body
+    assert isinstance(body, bytes)
+    response = web.StreamResponse(status=whole.status, headers=whole.headers)
+    response.content_length = len(body)
+    if whole.keep_alive is False:
+        response.force_close()
+    await response.prepare(request)
+    for begin in range(0, len(body), PIECE):
+        if begin and not lasts():
+            link.wire.abort()
+            return response
+        await response.write(body[begin : begin + PIECE])
+    await response.write_eof()
+    await request.writer.drain()
+    return response
 
 
 class ControlDoor(CallsDoor):
