--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -28,13 +28,13 @@
 from vetchusher.fields import FieldError
 from vetchusher.kinds import Kind
 from vetchusher.node import cli, log, reading
-from vetchusher.settings import compiled, compiling, node
+from vetchusher.settings import compiled, compiling, node, schemas
 from vetchusher.settings.configuration import read_configuration
 from vetchusher.settings.document import misfit
 from vetchusher.settings.node import node_of, read_node
 
 NODE = """
-node_name = "keeper-1"
+node_name = "control-1"
 serves = ["control", "directory"]
 ip_address = "10.2.0.5"
 zone = "north-1"
@@ -42,7 +42,7 @@
 internal_ports = [7000, 7015]
 seed_nodes = ["10.2.0.5:8000", "10.3.0.6:8000"]
 first_start = true
-data_directory = "/data/keeper"
+data_directory = "/data/control"
 something_new = [1, {a = 2}]
 [zones]
 north-1 = "north"
@@ -268,7 +268,7 @@
     @given(st.sampled_from(places(TREE)), values())
     def test_a_configuration(self, path, value):
         tree = changed(path, value)
-        allowed = misfit(tree, compiled.HERE / "configuration.schema.json")
+        allowed = misfit(tree, schemas.HERE / "configuration.schema.json")
         outcome = read_configuration(json.dumps(tree).encode())
         if is_successful(outcome):
             self.assertThat(allowed, Equals(None))
@@ -280,7 +280,7 @@
     @given(st.sampled_from(places(tomllib.loads(NODE))), values().filter(lambda v: v is not None))
     def test_settings(self, path, value):
         tree = changed(path, value, tomllib.loads(NODE))
-        outcome, allowed = node_of(tree), misfit(tree, compiled.HERE / "node.schema.json")
+        outcome, allowed = node_of(tree), misfit(tree, schemas.HERE / "node.schema.json")
         if is_successful(outcome):
             self.assertThat(allowed, Equals(None))
         elif allowed is None:  # only what no schema can say
@@ -354,7 +354,7 @@
         folder = folder_for(self)
         compiling.write_down(str(folder))
         path = folder / compiled.PACKAGE / "node.py"
-        written = path.read_text() + "\ndef validate(*_): raise Misfit([], 'built', 0, 'type')\n"
+        written = path.read_text() + "\ndef validate(*_): raise MisfitError([], 'built', 0, 'type')\n"
         says = []
         for source in (written, written.replace("SCHEMA = '", "SCHEMA = 'old")):
             path.write_text(source)
--- a/vetchusher/node/paths.py
+++ b/vetchusher/node/paths.py
@@ -47,6 +47,7 @@
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.heard_at = 0.0
+        self.number = 0  # of the connections of this process, in the order in which they began
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -129,6 +130,7 @@
         self.accepted: set[Channel] = set()
         self.calls: dict[int, tuple[asyncio.Future[wire.Frame | None], Channel | None]] = {}
         self.next_call = 1
+        self.connections = 0  # that have begun
         self.bytes_out = 0
         self.server: asyncio.Server | None = None
 
@@ -153,6 +155,8 @@
     # -- connections ------------------------------------------------------------------
 
     def opened(self, channel: Channel) -> None:
+        self.connections += 1
+        channel.number = self.connections
         if channel.peer:
             return
         if len(self.accepted) >= MOST_ACCEPTED:
@@ -263,6 +267,8 @@
         if not frame.reply:
             self.serve(frame, channel)
             return
-        future, _ = self.calls.get(frame.call, (None, None))
-        if future is not None and not future.done():
+        # Danger: numbers begin again with each life of a process.  A connection ends with either of its two,
+        # so on the connection on which a question was asked its number stands for that question alone.
+        future, way = self.calls.get(frame.call, (None, None))
+        if future is not None and way is channel and not future.done():
             future.set_result(frame)
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -1,6 +1,6 @@
-"""One request's way from its head to its one answer: what is judged, sent, sent again and answered.
+"""The state machine of one request: from its head to its one answer, with retries.
 
-No I/O: whoever holds the sockets carries out the acts and tells what came of each.
+No I/O: the caller carries out the acts and feeds back what became of each attempt.
 """
 
 from __future__ import annotations
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Close the connection of that attempt; nothing is owed for it any more."""
+    """Close the connection of that attempt; no outcome is expected for it."""
 
     number: int
 
@@ -128,9 +128,10 @@
 
 @dataclass(slots=True)
 class Ground:
-    """What all requests of an ingress are judged by.  A request keeps the table that it began with.
+    """What all requests of an ingress share.  A request keeps the route table that it began with.
 
-    :param fresh: the table is surely the one in force; else what it does not allow cannot be refused for good
+    :param fresh_until: us; until then the table is surely the one in force, and what it does not allow may be
+        refused for good
     :param times: smoothed times of answers (us) by route; `configure` drops those of routes that are gone
     """
 
@@ -139,7 +140,7 @@
     budget: Budget
     rng: random.Random
     table: RouteTable | None = None
-    fresh: bool = False
+    fresh_until: int = -1
     times: dict[str, float] = field(default_factory=dict)
 
     def configure(self, configuration: Configuration) -> None:
@@ -152,9 +153,10 @@
         before = self.times.get(route.name)
         self.times[route.name] = took_us if before is None else before + SMOOTH * (took_us - before)
 
-    def refusal(self, kind: Kind, text: str) -> Fault:
+    def refusal(self, now: int, kind: Kind, text: str) -> Fault:
         """What the table does not allow: refused for good only if it is the one in force."""
-        return Fault(kind, text) if self.fresh else Fault(Kind.NOT_FRESH, text, STALE_AGAIN_US)
+        fresh = now <= self.fresh_until
+        return Fault(kind, text) if fresh else Fault(Kind.NOT_FRESH, text, STALE_AGAIN_US)
 
 
 class Request:
@@ -165,8 +167,8 @@
         self.route = route
         self.tenant = tenant
         self.repeatable = route.route_type.repeatable
-        told = next((v for n, v in head.headers if n.lower() == TIME_REMAINING.lower()), "")
-        client_ms = float(told) if _MILLIS.fullmatch(told) else MOST_WAIT_MS
+        stated = next((v for n, v in head.headers if n.lower() == TIME_REMAINING.lower()), "")
+        client_ms = float(stated) if _MILLIS.fullmatch(stated) else MOST_WAIT_MS
         patience = int(min(client_ms, route.timeout_ms, MOST_WAIT_MS) * 1000)
         self.deadline = head.arrived_at + max(1, patience - MARGIN_US)
         self.head = head
@@ -201,10 +203,10 @@
         # Danger: counted before it is known that it can be sent, what is refused here would eat the quota.
         if tenant is not None and tenant.rate_per_s > 0 and not self.ground.tally.admit(now, tenant.name):
             self.done = True
-            # Those who were refused together shall not come back together.
+            # Jitter: clients refused together must not return together.
             wait = self.ground.tally.room_at(now, tenant.name) * (1.0 + 0.5 * self.ground.rng.random())
-            told = int(min(MOST_QUOTA_WAIT_US, max(LEAST_QUOTA_WAIT_US, wait)))
-            return [Refuse(Fault(Kind.OVER_QUOTA, "over the quota", told))]
+            retry_after = int(min(MOST_QUOTA_WAIT_US, max(LEAST_QUOTA_WAIT_US, wait)))
+            return [Refuse(Fault(Kind.OVER_QUOTA, "over the quota", retry_after))]
         self.ground.budget.first(now, self.service)
         acts: list[Act] = [self._send(now, server)]
         if self.repeatable and self.route.max_attempts > 1:
@@ -344,13 +346,13 @@
     found = {name.lower(): value for name, value in head.headers}
     route = table.find(found["host"], head.target)
     if route is None:
-        return Failure(ground.refusal(Kind.NO_ROUTE, "no such route"))
+        return Failure(ground.refusal(head.arrived_at, Kind.NO_ROUTE, "no such route"))
     tenant: Tenant | None = None
     if table.configuration.keyed:
         scheme, _, key = found.get("authorization", "").partition(" ")
         tenant = table.tenant(key.strip()) if scheme.lower() == "bearer" else None
         if tenant is None and not route.public:
-            return Failure(ground.refusal(Kind.NO_KEY, "no such key"))
+            return Failure(ground.refusal(head.arrived_at, Kind.NO_KEY, "no such key"))
     return Success(Request(ground, table, head, route, tenant))
 
 
