--- a/benchmarks/control_days/table.py
+++ b/benchmarks/control_days/table.py
@@ -75,7 +75,7 @@
     """
     lines = [summary("Now", [one.outcome for one in days])]
     if any(one.before for one in days):
-        lines.append(summary("Before", [one.before for one in days]))
+        lines.append(summary("Before, the same days", [one.before for one in days if one.outcome]))
     for site in sorted({one.site for one in days}):
         lines.append(site_line(site, [one for one in days if one.site == site], (ack_ms or {}).get(site)))
     played = [one.outcome for one in days if one.outcome]
