--- a/benchmarks/control_days/table.py
+++ b/benchmarks/control_days/table.py
@@ -151,9 +151,21 @@
     yield ""
     yield f"Variants played: {counted(Counter(event.name for event in events))}."
     yield ""
+    yield f"Variants drawn that the report does not repeat: {counted(unrepeated(days))}."
+    yield ""
     yield f"Closing faults: {counted(closings)}."
 
 
+def unrepeated(days: Sequence[PlayedDay]) -> Counter[str]:
+    """Variants in the day files of kinds whose variant no event of the reports names."""
+    played = [one for one in days if one.outcome]
+    named = {event.kind for one in played if one.outcome for event in one.outcome.events if event.how}
+    drawn = [entry for one in played for entry in (*one.day["faults"], *one.day["plan"])]
+    return Counter(
+        f"{one['kind']} {one['how']}" for one in drawn if one.get("how") and one["kind"] not in named
+    )
+
+
 def pair_lines(played: Sequence[Outcome]) -> Iterator[str]:
     """How often each kind followed each other on the core, during it or up to 8 s after its end."""
     pairs = Counter(pair for one in played for pair in one.core_pairs())
