--- a/benchmarks/control_days/table.py
+++ b/benchmarks/control_days/table.py
@@ -44,7 +44,8 @@
 
     @property
     def has_replacement(self) -> bool:
-        return any(one["kind"] == REPLACEMENT for one in (*self.day["faults"], *self.day["plan"]))
+        """Whether a core machine was replaced on the day as it was played."""
+        return self.outcome is not None and any(one.kind == REPLACEMENT for one in self.outcome.events)
 
 
 def read_days(files: Iterable[pathlib.Path], before: pathlib.Path | None = None) -> list[PlayedDay]:
