--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -23,7 +23,14 @@
 import aiohttp
 
 from vetchusher.emulator.cuts import Cuts
-from vetchusher.emulator.system.local import CONTROL, INTERNAL, REGIONS, Apiary, Machine, first_configuration
+from vetchusher.emulator.system.local import (
+    CONTROL,
+    INTERNAL,
+    REGIONS,
+    LocalSystem,
+    Machine,
+    first_configuration,
+)
 from vetchusher.emulator.wal import Commits
 from vetchusher.kinds import STATUS, Kind
 from vetchusher.node.folders import kept_in
@@ -152,7 +159,7 @@
         self.rng = random.Random(seed)
         zones = [ZONES[0]] * (size - size // 2) + [ZONES[1]] * (size // 2)
         self.size = size  # voters that there should be
-        self.apiary = Apiary(folder, core=zones, edge=(), losses=(size - 1) // 2)
+        self.apiary = LocalSystem(folder, core=zones, edge=(), losses=(size - 1) // 2)
         for machine in self.apiary.core:
             machine.internal = internal_port(machine)
         self.gone: list[Machine] = []  # that were replaced
--- a/vetchusher/emulator/system/local.py
+++ b/vetchusher/emulator/system/local.py
@@ -426,9 +426,6 @@
         await self.until(look, f"{[e.name for e in edges]} serve, and the directory names them")
 
 
-Apiary = LocalSystem  # the former name, by which emulator/control/process_rig.py still imports it
-
-
 def first_configuration(version: int = 1) -> dict[str, Any]:
     """A route a service, each for `HOST` below the service's name, and one tenant, whose key is `KEY`."""
     return {
