--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -264,7 +264,7 @@
         gc.enable()
         watch, found = Watch(), dict[str, Any]()
         ticking = loop.create_task(node.run())
-        while not node.member.holds(steady_us()):
+        while not node.member.is_leader(steady_us()):
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.2)
         found["start_mb"] = memory_mb()
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -297,7 +297,7 @@
     def primary(self) -> Process:
         for process in self.cores:
             part = process.part
-            if isinstance(part, ControlNode) and part.member.holds(part.now()):
+            if isinstance(part, ControlNode) and part.member.is_leader(part.now()):
                 return process
         raise LookupError("no primary")
 
@@ -331,8 +331,8 @@
     def record(self) -> wire.ReplicaSet:
         """Who holds copies and votes, as the primary has it."""
         part = self.primary().part
-        assert isinstance(part, ControlNode) and part.member.primary_work is not None
-        return part.member.primary_work.reconfiguration.record
+        assert isinstance(part, ControlNode) and part.member.primary_role is not None
+        return part.member.primary_role.reconfiguration.current
 
     def replace(self) -> int:
         """A new configuration, to the primary; the moment (us) of its acknowledgement."""
@@ -394,7 +394,7 @@
         for process in self.processes.values():
             process.loop.end(False)
             if isinstance(process.part, ControlNode):
-                if (link := process.part.saving.store.link) is not None:
+                if (link := process.part.saving.store.connection) is not None:
                     link.close()
                 if process.part.shelf is not None:
                     process.part.shelf.close()
--- a/benchmarks/capacity/loopback.py
+++ b/benchmarks/capacity/loopback.py
@@ -124,7 +124,7 @@
         body = made.configuration(1, size.routes, size.services, size.tenants)
         for ip in self.cores:
             part = self.parts[ip]
-            if isinstance(part, ControlNode) and part.member.holds(steady_us()):
+            if isinstance(part, ControlNode) and part.member.is_leader(steady_us()):
                 acknowledged(await part.settle(operator_api.ReplaceConfiguration(body))).unwrap()
 
     async def close(self) -> None:
--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -30,8 +30,8 @@
 from statistics import median
 from typing import Any
 
-from vetchusher.control import PersistentState, Replace, Store
-from vetchusher.control.state import at, changed, first_record, first_state, ordered
+from vetchusher.control import PersistentState, ReplaceOrder, Store
+from vetchusher.control.state import apply_order, copy_state, first_replica_set, first_state, state_stamp
 from vetchusher.distribution.rows import rows_of
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import NEVER, Source
@@ -116,18 +116,18 @@
         self.store = Store.open(folder, DISK_MB).unwrap()
         self.snapshot = SnapshotStore.open(folder, DISK_MB).unwrap()
         self.source = Source("control")
-        self.state = changed(first_state(), (1, 0))
+        self.state = copy_state(first_state(), (1, 0))
         self.costs: list[tuple[int, float, int, float, int]] = []
 
     def change(self, version: int) -> None:
         body = body_of(version, self.routes)
-        self.state = ordered(changed(self.state, (1, version)), Replace(version, body)).unwrap()
+        self.state = apply_order(copy_state(self.state, (1, version)), ReplaceOrder(version, body)).unwrap()
         rows = rows_of(read_configuration(body).unwrap(), body, {})
         before, began = written(), time.perf_counter()
-        self.store.save(PersistentState(1, self.state, "1", first_record("123"))).unwrap()
+        self.store.save(PersistentState(1, self.state, "1", first_replica_set("123"))).unwrap()
         between, saved = written(), time.perf_counter()
         last = self.source.stamp
-        self.source.publish(at(self.state), rows)
+        self.source.publish(state_stamp(self.state), rows)
         news = self.source.since(last)
         assert news is not None
         told = time.perf_counter()
--- a/benchmarks/core_campaign.py
+++ b/benchmarks/core_campaign.py
@@ -40,7 +40,7 @@
 
 T = Timing()
 # Until the voters are free of the old lease; a candidate's pause; its questions, as the dead answer none.
-TAKEOVER_S = (T.lease_us + T.pause_us + T.probe_us) / 1e6
+TAKEOVER_S = (T.lease_duration_us + T.election_jitter_us + T.pre_vote_timeout_us) / 1e6
 OTHERS = (
     "kill another",
     "wipe another",
@@ -50,9 +50,9 @@
     "replace another as planned",
 )
 # By the settings, from when a majority is up.  Of those others one may be the only one in a second zone.
-BOUNDS_S = {kind: T.other_zone_us / 1e6 if kind in OTHERS else TAKEOVER_S for kind in FAULTS}
+BOUNDS_S = {kind: T.other_zone_timeout_us / 1e6 if kind in OTHERS else TAKEOVER_S for kind in FAULTS}
 # It renews until the last answer has run out, and asks on for a while.
-BOUNDS_S["the primary hears nobody"] += (T.held_us + T.regain_us) / 1e6
+BOUNDS_S["the primary hears nobody"] += (T.answer_valid_us + T.lease_regain_us) / 1e6
 
 
 def part(values: Iterable[float], share: float) -> float:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -627,7 +627,7 @@
         self.assertEqual([Success(operator_api.EvacuationSet("gulf-b", on))], outcomes)
 
     def in_force(self):
-        state = self.world.machines[self.primary].part.member.memory.state
+        state = self.world.machines[self.primary].part.member.durable.state
         return {one.zone: one.on for one in state.evacuations}.get("gulf-b", False)
 
     def cut_before(self, question):
@@ -666,7 +666,7 @@
     def test_the_same_frame_once_more_is_acknowledged_and_undoes_nothing(self):
         """Twice at once, and after the reverse order; a configuration under its version likewise."""
         part = self.world.machines[self.primary].part
-        state = part.member.memory.state
+        state = part.member.durable.state
         configuration = wire.ReplaceConfiguration(body=state.configuration)
         evacuate = wire.Frame(order=wire.OrderAsked(evacuate=wire.Evacuate(zone="gulf-b", on=True, after=0)))
         told = []
@@ -683,7 +683,7 @@
         self.assertEqual([["", "", ""], ["", "", ""]], [sorted(kinds) for kinds in told[:2]])
         self.assertEqual(["", late, late], sorted(told[2]))
         self.assertFalse(self.in_force())
-        self.assertEqual(state.version, part.member.memory.state.version)
+        self.assertEqual(state.version, part.member.durable.state.version)
 
     def test_each_of_the_two_is_seen_without_its_guard(self):
         with planted("an order of evacuation bears no number"):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,25 +9,25 @@
 from returns.result import Failure
 
 from vetchusher.control import (
+    EvacuationOrder,
     Output,
     PersistentState,
     Received,
-    Replace,
+    ReplaceOrder,
     Replica,
     Send,
-    SetEvacuation,
     Timing,
 )
 from vetchusher.control.durable_state import DurableState
 from vetchusher.control.election import Candidate
 from vetchusher.control.orders import OrderBatch
-from vetchusher.control.progress import Peers, ProgressTracker
+from vetchusher.control.progress import PeerTable, ProgressTracker
 from vetchusher.control.state import (
-    changed,
+    apply_order,
     copies_needed,
-    first_record,
+    copy_state,
+    first_replica_set,
     first_state,
-    ordered,
     with_configuration,
     without_configuration,
 )
@@ -123,7 +123,7 @@
         4   | idle   |        |        | r6
         ack | joined |        |        |
         """,
-        Scene(rates=(0.955, 1.045, 1.045), most_us=MS, disk_us=MS, timing=Timing(pause_us=MS)),
+        Scene(rates=(0.955, 1.045, 1.045), most_us=MS, disk_us=MS, timing=Timing(election_jitter_us=MS)),
     ),
     "primary that hears but is not heard": (
         """
@@ -611,24 +611,24 @@
 
 class Parts(testtools.TestCase):
     def test_a_version_left_out_is_filled_from_the_same_epoch_only(self) -> None:
-        held = changed(ordered(first_state(), Replace(7, b"one body")).unwrap(), (1, 4))
-        written = without_configuration(changed(held, (1, 5)))
-        self.assertEqual(changed(held, (1, 5)), with_configuration(written, held))
-        self.assertIsNone(with_configuration(without_configuration(changed(held, (2, 5))), held))
+        held = copy_state(apply_order(first_state(), ReplaceOrder(7, b"one body")).unwrap(), (1, 4))
+        written = without_configuration(copy_state(held, (1, 5)))
+        self.assertEqual(copy_state(held, (1, 5)), with_configuration(written, held))
+        self.assertIsNone(with_configuration(without_configuration(copy_state(held, (2, 5))), held))
 
     def test_orders_that_change_nothing(self) -> None:
-        state = ordered(first_state(), Replace(7, b"seven")).unwrap()
-        state = ordered(state, SetEvacuation("north", True)).unwrap()
+        state = apply_order(first_state(), ReplaceOrder(7, b"seven")).unwrap()
+        state = apply_order(state, EvacuationOrder("north", True)).unwrap()
         for order in (
-            Replace(7, b"seven"),
-            Replace(6, b"six"),
-            SetEvacuation("north", True),
-            SetEvacuation("x", False),
+            ReplaceOrder(7, b"seven"),
+            ReplaceOrder(6, b"six"),
+            EvacuationOrder("north", True),
+            EvacuationOrder("x", False),
         ):
-            self.assertIs(state, ordered(state, order).unwrap())
-        self.assertIs(Kind.CONFLICT, ordered(state, Replace(7, b"other")).failure().kind)
-        after = ordered(
-            ordered(state, SetEvacuation("south", True)).unwrap(), SetEvacuation("north", False)
+            self.assertIs(state, apply_order(state, order).unwrap())
+        self.assertIs(Kind.CONFLICT, apply_order(state, ReplaceOrder(7, b"other")).failure().kind)
+        after = apply_order(
+            apply_order(state, EvacuationOrder("south", True)).unwrap(), EvacuationOrder("north", False)
         ).unwrap()
         self.assertEqual(
             [("south", True, 2), ("north", False, 3)], [(e.zone, e.on, e.order) for e in after.evacuations]
@@ -636,13 +636,13 @@
 
     def test_one_number_has_one_body(self) -> None:
         """Of a batch that goes from r5 to r8: what is refused, and what waits for the write."""
-        held = ordered(first_state(), Replace(5, b"five")).unwrap()
+        held = apply_order(first_state(), ReplaceOrder(5, b"five")).unwrap()
         first, second = OrderBatch(held, None), None
         orders = [(5, b"five"), (5, b"other"), (4, b"x"), (8, b"8"), (6, b"6"), (6, b"other"), (6, b"6")]
-        told = [first.decide(Replace(*order)) for order in orders]
+        told = [first.decide(ReplaceOrder(*order)) for order in orders]
         kinds = [d.outcome.failure().kind if isinstance(d.outcome, Failure) else None for d in told]
         self.assertEqual([None, Kind.CONFLICT, None, None, None, Kind.CONFLICT, None], kinds)
-        self.assertEqual([False, False, False, True, True, True, True], [d.relies_on_write for d in told])
+        self.assertEqual([False, False, False, True, True, True, True], [d.needs_commit for d in told])
         self.assertEqual([Event.ORDERS_CONFLICT] * 2, [d.event.event for d in told if d.event])
         # Orders that came while r8 was written: r5 was held as they came, and 6 was given away.
         for number, body, refused in (
@@ -652,50 +652,52 @@
             (4, b"y", 0),
             (7, b"7", 0),
         ):
-            second = OrderBatch(first.state, first.numbers())
-            decision = second.decide(Replace(number, body))
-            self.assertEqual((bool(refused), False), (bool(decision.event), decision.relies_on_write))
+            second = OrderBatch(first.state, first.known_bodies())
+            decision = second.decide(ReplaceOrder(number, body))
+            self.assertEqual((bool(refused), False), (bool(decision.event), decision.needs_commit))
         # Later on, numbers below are acknowledged and change nothing.
-        third = OrderBatch(second.state, second.numbers())
-        self.assertIs(None, third.decide(Replace(5, b"x")).event)
+        third = OrderBatch(second.state, second.known_bodies())
+        self.assertIs(None, third.decide(ReplaceOrder(5, b"x")).event)
         # A batch without configurations forgets nothing.
-        self.assertIs(first.numbers().bodies, OrderBatch(first.state, first.numbers()).numbers().bodies)
+        self.assertIs(
+            first.known_bodies().digests, OrderBatch(first.state, first.known_bodies()).known_bodies().digests
+        )
 
     def test_a_copy_comes_from_letters_to_this_life_only_and_goes_as_told(self) -> None:
         """A copy that was lost does not come back by a late message; a late order drops no newer copy."""
-        record = first_record("123")
-        kept = PersistentState(5, first_state(), "1", record, copy=False)
+        record = first_replica_set("123")
+        kept = PersistentState(5, first_state(), "1", record, has_copy=False)
         member = Replica("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
 
         def hear(message: ControlMessage) -> list[Output]:
             return member.handle(SECOND, Received("1", "east", message))
 
         def write(life: int, seq: int) -> list[Output]:
-            state = changed(first_state(), (5, seq))
+            state = copy_state(first_state(), (5, seq))
             return hear(ControlMessage(write=Write(epoch=5, state=state, life=life)))
 
         def drop(seq: int) -> list[Output]:
             return hear(ControlMessage(drop=Drop(epoch=5, stamp=Stamp(epoch=5, seq=seq))))
 
-        [refused] = write(member.life + 1, 7)
+        [refused] = write(member.incarnation + 1, 7)
         self.assertFalse(isinstance(refused, Send) and refused.message.written.accepted)
         for event, copy in (
-            (lambda: write(member.life, 7), True),
+            (lambda: write(member.incarnation, 7), True),
             (lambda: drop(6), True),
             (lambda: drop(7), False),
         ):
             event()
-            self.assertIs(copy, member.memory.copy)
+            self.assertIs(copy, member.durable.has_copy)
 
     def test_what_was_told_to_drop_counts_under_a_later_stamp_only(self) -> None:
-        words = ProgressTracker(Timing(), Peers("1"), 0)
-        backup = words.member("3")
-        backup.dropped = (5, 7)
+        words = ProgressTracker(Timing(), PeerTable("1"), 0)
+        backup = words.of("3")
+        backup.dropped_stamp = (5, 7)
         for seq, counts in ((7, False), (8, True)):
             answer = LeaseRenewalReply(round=words.next_round(SECOND), accepted=True, copy=True)
             answer.stamp.epoch, answer.stamp.seq = 5, seq
-            words.renewed("3", answer)
-            self.assertIs(counts, words.copy(SECOND, "3") == (5, seq))
+            words.on_renewal_reply("3", answer)
+            self.assertIs(counts, words.copy_stamp(SECOND, "3") == (5, seq))
 
     def test_every_majority_has_a_copy(self) -> None:
         self.assertEqual([1, 2, 2, 2, 3, 3, 4], [copies_needed(members, 1) for members in range(1, 8)])
@@ -703,18 +705,20 @@
 
     def test_a_promise_counts_no_longer_than_any_answer(self) -> None:
         memory = DurableState(
-            Timing(), PersistentState(0, first_state(), record=first_record("123")), on_disk=True
+            Timing(), PersistentState(0, first_state(), replica_set=first_replica_set("123")), on_disk=True
         )
         asker = Candidate(Timing(), memory, "1", 0, now=0)
-        asker.choose(0)
-        asker.synced(0)
-        self.assertEqual([], asker.synced(0))
-        for save in memory.work(0):
-            memory.saved(0, save.token, True)
-        self.assertEqual({"2", "3"}, {tell.to for tell in asker.synced(0)})
-        asker.heard("2", VoteReply(epoch=1, granted=True, promised=1, record=first_record("123"), copy=True))
-        self.assertTrue(asker.elected())
-        self.assertTrue(asker.over(SECOND))
+        asker.choose_epoch(0)
+        asker.request_votes_when_synced(0)
+        self.assertEqual([], asker.request_votes_when_synced(0))
+        for save in memory.persist_changes(0):
+            memory.on_persisted(0, save.token, True)
+        self.assertEqual({"2", "3"}, {tell.to for tell in asker.request_votes_when_synced(0)})
+        asker.on_reply(
+            "2", VoteReply(epoch=1, granted=True, promised=1, record=first_replica_set("123"), copy=True)
+        )
+        self.assertTrue(asker.is_elected())
+        self.assertTrue(asker.timed_out(SECOND))
 
     def test_no_configuration_yet(self) -> None:
         world, seen = World(Scene()), []
--- a/tests/test_control_changes.py
+++ b/tests/test_control_changes.py
@@ -8,21 +8,27 @@
 import testtools
 
 from vetchusher.control import (
+    EvacuationOrder,
     Output,
     PersistentState,
     Received,
-    Replace,
+    ReplaceOrder,
     Replica,
     Send,
-    SetEvacuation,
     Timing,
 )
-from vetchusher.control.chunks import LEAST
-from vetchusher.control.deltas import BodyHistory, body_delta, body_of, chunked
+from vetchusher.control.chunks import MIN_CHUNK_BYTES
+from vetchusher.control.deltas import ConfigurationHistory, apply_delta, digested_chunks, make_delta
 from vetchusher.control.durable_state import DurableState
 from vetchusher.control.primary import Primary
-from vetchusher.control.progress import Peers
-from vetchusher.control.state import changed, first_record, first_state, ordered, without_configuration
+from vetchusher.control.progress import PeerTable
+from vetchusher.control.state import (
+    apply_order,
+    copy_state,
+    first_replica_set,
+    first_state,
+    without_configuration,
+)
 from vetchusher.distribution.wire_pb2 import BodyDelta, ControlMessage, Write, WriteReply
 from vetchusher.emulator.control.changes import ChangesDay, place
 from vetchusher.emulator.control.world import configuration_body
@@ -32,7 +38,7 @@
 
 
 def delta_between(held: bytes, body: bytes) -> BodyDelta | None:
-    return body_delta([name for name, _ in chunked(held)], chunked(body))
+    return make_delta([name for name, _ in digested_chunks(held)], digested_chunks(body))
 
 
 class Deltas(testtools.TestCase):
@@ -44,39 +50,41 @@
             body = held[:at] + rng.randbytes(rng.randrange(60)) + held[at + rng.randrange(60) :]
             delta = delta_between(held, body)
             assert delta is not None
-            self.assertEqual(body, body_of(delta, held))
+            self.assertEqual(body, apply_delta(delta, held))
             self.assertLess(delta.ByteSize(), len(body) // 2)
 
     def test_a_body_that_is_all_new_goes_whole(self) -> None:
-        self.assertIsNone(delta_between(b"x" * 20 * LEAST, random.Random(1).randbytes(20 * LEAST)))
+        self.assertIsNone(
+            delta_between(b"x" * 20 * MIN_CHUNK_BYTES, random.Random(1).randbytes(20 * MIN_CHUNK_BYTES))
+        )
         self.assertIsNone(delta_between(b"", b"small"))
 
     def test_a_reader_that_lacks_a_chunk_makes_nothing(self) -> None:
         versions = [configuration_body(version, ROWS) for version in (7, 8, 200)]
         delta = delta_between(versions[0], versions[1])
         assert delta is not None
-        for held in (b"", versions[2], versions[0][:-LEAST]):
-            self.assertIsNone(body_of(delta, held))
+        for held in (b"", versions[2], versions[0][:-MIN_CHUNK_BYTES]):
+            self.assertIsNone(apply_delta(delta, held))
 
     def test_the_history_forgets_the_former_body_once_the_delta_is_made(self) -> None:
-        history = BodyHistory()
+        history = ConfigurationHistory()
         history.advance((2, 1), configuration_body(7, ROWS), configuration_body(6, ROWS), (1, 9))
         self.assertIsNotNone(history.delta())
         self.assertIs(history.delta(), history.delta())
-        self.assertEqual(b"", history.former)
+        self.assertEqual(b"", history.previous)
 
 
 class Readers(testtools.TestCase):
     """A machine that was sent a delta."""
 
     def reader(self, body: bytes, epoch: int) -> Replica:
-        held = changed(ordered(first_state(), Replace(7, body)).unwrap(), (epoch, 4))
-        kept = PersistentState(epoch, held, "1", first_record("123"), copy=True)
+        held = copy_state(apply_order(first_state(), ReplaceOrder(7, body)).unwrap(), (epoch, 4))
+        kept = PersistentState(epoch, held, "1", first_replica_set("123"), has_copy=True)
         return Replica("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
 
     def told(self, reader: Replica, body: bytes, delta: BodyDelta) -> list[Output]:
-        state = changed(ordered(first_state(), Replace(7, body)).unwrap(), (5, 1))
-        write = Write(epoch=5, state=without_configuration(state), life=reader.life, delta=delta)
+        state = copy_state(apply_order(first_state(), ReplaceOrder(7, body)).unwrap(), (5, 1))
+        write = Write(epoch=5, state=without_configuration(state), life=reader.incarnation, delta=delta)
         return reader.handle(SECOND, Received("1", "east", ControlMessage(write=write)))
 
     def test_the_same_version_of_another_epoch_with_another_body_harms_nothing(self) -> None:
@@ -86,7 +94,7 @@
         assert delta is not None
         reader = self.reader(uncommitted, epoch=4)
         self.told(reader, body, delta)
-        self.assertEqual(body, reader.memory.state.configuration)
+        self.assertEqual(body, reader.durable.state.configuration)
 
     def test_what_it_cannot_put_together_it_asks_for_whole(self) -> None:
         body = configuration_body(8, ROWS)
@@ -96,7 +104,7 @@
         [answer] = [out for out in self.told(reader, body, delta) if isinstance(out, Send)]
         self.assertTrue(answer.message.written.need_whole)
         self.assertFalse(answer.message.written.accepted)
-        self.assertEqual(configuration_body(300, ROWS), reader.memory.state.configuration)
+        self.assertEqual(configuration_body(300, ROWS), reader.durable.state.configuration)
 
 
 class Writers(testtools.TestCase):
@@ -105,10 +113,10 @@
     def setUp(self) -> None:
         super().setUp()
         self.body = configuration_body(7, ROWS)
-        held = changed(ordered(first_state(), Replace(7, self.body)).unwrap(), (4, 9))
-        kept = PersistentState(5, held, "1", first_record("123"), copy=True)
+        held = copy_state(apply_order(first_state(), ReplaceOrder(7, self.body)).unwrap(), (4, 9))
+        kept = PersistentState(5, held, "1", first_replica_set("123"), has_copy=True)
         self.memory = DurableState(Timing(), kept, on_disk=True)
-        self.primary = Primary(Timing(), self.memory, Peers("1"), 5, first_record("123"), 1, 0, 0)
+        self.primary = Primary(Timing(), self.memory, PeerTable("1"), 5, first_replica_set("123"), 1, 0, 0)
 
     def sent(self, out: list[Output], to: str = "2") -> Write:
         [message] = [one.message for one in out if isinstance(one, Send) and one.to == to]
@@ -116,34 +124,36 @@
 
     def synced(self, write: Write) -> None:
         answer = WriteReply(epoch=5, accepted=True, stamp=write.state.stamp)
-        self.assertEqual([], self.primary.written(0, "2", answer))
+        self.assertEqual([], self.primary.on_write_reply(0, "2", answer))
 
     def test_whoever_lacks_a_chunk_of_a_first_write_gets_the_whole_until_it_has_synced(self) -> None:
         first = self.sent(self.primary.write(0, self.memory.state))
         self.assertEqual(([], b""), (list(first.delta.chunks), first.state.configuration))
         lacking = WriteReply(epoch=5, need_whole=True)
-        whole = self.sent(self.primary.written(0, "2", lacking))
-        again = self.sent(self.primary.send(0, "2", self.primary.progress.member("2")))
+        whole = self.sent(self.primary.on_write_reply(0, "2", lacking))
+        again = self.sent(self.primary.send_write(0, "2", self.primary.progress.of("2")))
         for write in (whole, again):
             self.assertFalse(write.HasField("delta"))
             self.assertEqual(self.body, write.state.configuration)
         self.synced(whole)
-        newer = ordered(self.memory.state, Replace(8, configuration_body(8, ROWS))).unwrap()
+        newer = apply_order(self.memory.state, ReplaceOrder(8, configuration_body(8, ROWS))).unwrap()
         delta = self.sent(self.primary.write(0, newer)).delta
-        self.assertEqual(configuration_body(8, ROWS), body_of(delta, self.body))
+        self.assertEqual(configuration_body(8, ROWS), apply_delta(delta, self.body))
         self.assertLess(delta.ByteSize(), 6000)
 
     def test_one_that_missed_more_than_one_version_gets_the_whole(self) -> None:
         self.synced(self.sent(self.primary.write(0, self.memory.state)))
         for version in (8, 9):
-            state = ordered(self.memory.state, Replace(version, configuration_body(version, ROWS))).unwrap()
+            state = apply_order(
+                self.memory.state, ReplaceOrder(version, configuration_body(version, ROWS))
+            ).unwrap()
             write = self.sent(self.primary.write(0, state))
         self.assertFalse(write.HasField("delta"))
         self.assertEqual(configuration_body(9, ROWS), write.state.configuration)
 
     def test_what_holds_the_configuration_gets_none(self) -> None:
         self.synced(self.sent(self.primary.write(0, self.memory.state)))
-        state = ordered(self.memory.state, SetEvacuation("north", True)).unwrap()
+        state = apply_order(self.memory.state, EvacuationOrder("north", True)).unwrap()
         write = self.sent(self.primary.write(0, state))
         self.assertEqual((False, b""), (write.HasField("delta"), write.state.configuration))
         self.assertTrue(write.state.configuration_left_out)
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 from testtools import TestCase
 
-from vetchusher.control import Order, Retire, Tick
+from vetchusher.control import Order, ShutDown, Tick
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import Source
 from vetchusher.distribution.subscriber import Subscriber
@@ -287,7 +287,7 @@
         part = leader_of(World(Scene(seed=3)))
 
         async def submit(order: Order) -> Result[bytes, Fault]:
-            part.feed(Retire())
+            part.feed(ShutDown())
             return Success(b"r1")
 
         with mock.patch.object(part, "submit", submit):
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -59,7 +59,7 @@
         after = calm(step(state, TIME))
         self.assertEqual(before, digest(member))
         self.assertNotEqual(before, digest(after.cells[0].member))
-        self.assertIs(copied.memory, copied.primary_work.memory)
+        self.assertIs(copied.durable, copied.primary_role.durable)
 
 
 class Histories(testtools.TestCase):
--- a/tests/test_control_membership.py
+++ b/tests/test_control_membership.py
@@ -3,8 +3,8 @@
 from testtools import TestCase
 
 from vetchusher.control import PersistentState
-from vetchusher.control.seats import Roster, next_members, size_for
-from vetchusher.control.state import changed, first_state
+from vetchusher.control.seats import MembershipView, next_members, voters_for
+from vetchusher.control.state import copy_state, first_state
 from vetchusher.distribution.wire_pb2 import ReplicaSet
 from vetchusher.emulator.control.closure import Moment, unbearable
 
@@ -12,13 +12,15 @@
 
 
 def voters(members, size=3, gone="", gone_for_long="", spares="", keep=""):
-    roster = Roster(members, gone, gone_for_long, spares, members[0], frozenset(members[0] + keep), ZONES)
+    roster = MembershipView(
+        members, gone, gone_for_long, spares, members[0], frozenset(members[0] + keep), ZONES
+    )
     return "".join(sorted(next_members(roster, size)))
 
 
 class SeatsTest(TestCase):
     def test_voters_for_each_number_of_losses(self):
-        self.assertEqual([3, 3, 5, 7], [size_for(losses) for losses in range(4)])
+        self.assertEqual([3, 3, 5, 7], [voters_for(losses) for losses in range(4)])
 
     def test_the_voters_that_there_should_be(self):
         for told, wanted in (
@@ -42,8 +44,8 @@
 
 def disk(members, copies, holds, seq=1, previous=""):
     record = ReplicaSet(epoch=1, number=1, members=members, copies=copies, previous_members=previous)
-    state = changed(first_state(), (1, seq))
-    return PersistentState(1, state, members[0], record, copy=holds)
+    state = copy_state(first_state(), (1, seq))
+    return PersistentState(1, state, members[0], record, has_copy=holds)
 
 
 class ClosureTest(TestCase):
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -12,7 +12,7 @@
 import orjson
 from testtools import TestCase
 
-from vetchusher.control.state import MOST_ZONES
+from vetchusher.control.state import MAX_ZONES
 from vetchusher.directory.naming import named, serving_ingresses
 from vetchusher.directory.neighbours import Place, neighbours
 from vetchusher.directory.presence import SERVING_US, Presence
@@ -354,10 +354,10 @@
         services = [{"name": f"s{number}"} for number in range(300)]
         body = orjson.dumps({"version": "r1", "routes": [], "services": services})
         read = read_whole(body).unwrap()
-        self.assertEqual(MOST_ZONES, reading.EVACUATION_ROWS)
-        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MOST_ZONES):
+        self.assertEqual(MAX_ZONES, reading.EVACUATION_ROWS)
+        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MAX_ZONES):
             read_whole(body).unwrap()
-        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MOST_ZONES - 1):
+        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MAX_ZONES - 1):
             self.assertEqual(Kind.INVALID, read_whole(body).failure().kind)
 
     def test_deltas_fill_a_source_no_further_than_a_whole_may(self):
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -187,10 +187,10 @@
         async def decide_here(order):
             return operator_api.Backed(Success(order), lambda: True)
 
-        orders = (control.SetEvacuation("a", True), control.Replace(1, b""), control.Retrieve())
+        orders = (control.EvacuationOrder("a", True), control.ReplaceOrder(1, b""), control.RetrieveOrder())
         for stood_still in (False, True):
             node = mock.Mock(decide_here=decide_here)
-            node.member.stood_still.return_value = stood_still
+            node.member.was_paused.return_value = stood_still
             taken = [
                 isinstance(asyncio.run(control_node.ControlNode.decide(node, order, None)).outcome, Success)
                 for order in orders
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -26,7 +26,7 @@
     Persisted,
     PersistentState,
     Received,
-    Replace,
+    ReplaceOrder,
     Replica,
     Send,
     Store,
@@ -37,8 +37,17 @@
     repair,
     store,
 )
-from vetchusher.control.repair import Fetch, Fetched, Look, Mend, Pace, Repair, Rewrite, Scan
-from vetchusher.control.state import at, changed, first_state, ordered
+from vetchusher.control.repair import (
+    CopyRepair,
+    FetchRows,
+    RepairCopy,
+    RepairTiming,
+    ReplicaStatus,
+    RewriteRows,
+    RowsFetched,
+    ScanRows,
+)
+from vetchusher.control.state import apply_order, copy_state, first_state, state_stamp
 from vetchusher.emulator.fleet_world import SECOND
 from vetchusher.events import LogEvent
 from vetchusher.node.persistence import Persister
@@ -59,7 +68,7 @@
     def __init__(self, folder: Path, committed: bool = True) -> None:
         self.now, self.committed = 0, committed
         self.stores = {ip: Store.open(str(folder / ip)).unwrap() for ip in MACHINES}
-        self.repairs = {ip: Repair(ip, Pace(), random.Random(int(ip)), 0) for ip in MACHINES}
+        self.repairs = {ip: CopyRepair(ip, RepairTiming(), random.Random(int(ip)), 0) for ip in MACHINES}
         self.memory: dict[str, PersistentState] = {}
         self.notes: list[tuple[str, str]] = []
         self.messages: Counter[str] = Counter()
@@ -83,18 +92,20 @@
         if found := re.fullmatch(r"holds (\d+)\.(\d+) (\w+)", word):
             stamped = int(found[1]), int(found[2])
             body = BODY + found[3].encode()
-            state = changed(ordered(first_state(), Replace(stamped[1], body)).unwrap(), stamped)
+            state = copy_state(apply_order(first_state(), ReplaceOrder(stamped[1], body)).unwrap(), stamped)
             self.memory[ip] = PersistentState(stamped[0], state)
             own.save(self.memory[ip])
         elif word == "rot":
-            assert own.link is not None
-            own.link.execute("UPDATE chunk SET value = x'00' WHERE name = (SELECT max(name) FROM chunk)")
+            assert own.connection is not None
+            own.connection.execute(
+                "UPDATE chunk SET value = x'00' WHERE name = (SELECT max(name) FROM chunk)"
+            )
         elif word == "lost":
-            assert own.link is not None
-            own.link.execute("DELETE FROM chunk WHERE name = (SELECT min(name) FROM chunk)")
+            assert own.connection is not None
+            own.connection.execute("DELETE FROM chunk WHERE name = (SELECT min(name) FROM chunk)")
         else:
             text = word.removeprefix("shows ").encode()
-            held = own.read(own.link) if own.link is not None else None
+            held = own.read(own.connection) if own.connection is not None else None
             if not isinstance(held, Success):
                 self.wrong.append(f"{ip}: {held}")
             elif held.unwrap().state.configuration != BODY + text:
@@ -102,8 +113,8 @@
 
     def look(self, ip: str) -> None:
         copy = self.stores[ip].copy
-        newest = at(self.memory["1"].state) if self.committed else (0, 0)
-        self.give(ip, Look("1", ip == "1", newest, copy, copy.written if copy else None))
+        newest = state_stamp(self.memory["1"].state) if self.committed else (0, 0)
+        self.give(ip, ReplicaStatus("1", ip == "1", newest, copy, copy.generation if copy else None))
 
     def give(self, ip: str, event: repair.Input) -> None:
         for out in self.repairs[ip].handle(self.now, event):
@@ -115,17 +126,17 @@
                     self.bytes += message.ByteSize()
                     self.look(to)
                     self.give(to, Received(ip, "", message))
-                case Scan():
+                case ScanRows():
                     self.give(ip, self.stores[ip].scan())
-                case Fetch():
-                    self.give(ip, Fetched(out, self.stores[ip].rows(out.at, out.leaves)))
-                case Rewrite():
-                    self.stores[ip].forget()
+                case FetchRows():
+                    self.give(ip, RowsFetched(out, self.stores[ip].read_leaves(out.stamp, out.leaves)))
+                case RewriteRows():
+                    self.stores[ip].forget_rows()
                     self.stores[ip].save(self.memory[ip])
-                case Mend():
-                    state = self.stores[ip].mended(out.at, out.leaves, out.rows, out.root)
-                    if state is not None and at(self.memory[ip].state) == out.at:
-                        self.memory[ip] = PersistentState(self.memory[ip].promised, state)
+                case RepairCopy():
+                    state = self.stores[ip].repaired_state(out.stamp, out.leaves, out.rows, out.root)
+                    if state is not None and state_stamp(self.memory[ip].state) == out.stamp:
+                        self.memory[ip] = PersistentState(self.memory[ip].voted_epoch, state)
                         self.stores[ip].save(self.memory[ip])
 
 
@@ -179,39 +190,39 @@
 def planted(fault: str) -> Iterator[None]:
     with contextlib.ExitStack() as stack:
         if fault == "checksums skipped":
-            stack.enter_context(mock.patch.object(store, "sound", lambda name, value: True))
+            stack.enter_context(mock.patch.object(store, "is_chunk_intact", lambda name, value: True))
         elif fault == "missing rows do not matter":
             scan = Store.scan
 
-            def looked(self: Store) -> store.Scanned:
+            def looked(self: Store) -> store.ScanResult:
                 found = scan(self)
-                return store.Scanned((), found.whole, found.size)
+                return store.ScanResult((), found.pass_completed, found.bytes_read)
 
             stack.enter_context(mock.patch.object(Store, "scan", looked))
         elif fault == "what is not committed is right":
-            stack.enter_context(mock.patch.object(Repair, "right", lambda self, answer: answer.sound))
+            stack.enter_context(
+                mock.patch.object(CopyRepair, "is_authoritative", lambda self, answer: answer.sound)
+            )
         else:
-            rows = Store.rows
+            rows = Store.read_leaves
 
             def any_rows(self: Store, stamp: object, leaves: tuple[int, ...]) -> dict[str, bytes] | None:
                 return rows(self, self.copy.stamp, leaves) if self.copy is not None else None
 
-            def under_way(self: Repair, sender: str, number: int, at: object) -> object:
-                own, copy = self.round, self.look.copy
-                return (
-                    (own, copy) if own is not None and (sender, number) == (own.other, own.number) else None
-                )
+            def under_way(self: CopyRepair, sender: str, number: int, at: object) -> object:
+                own, copy = self.comparison, self.status.copy
+                return (own, copy) if own is not None and (sender, number) == (own.peer, own.number) else None
 
-            def answer(self: Repair, sender: str, asked: repair.Compare) -> Send:
-                assert self.look.copy is not None
-                asked.stamp.CopyFrom(repair.stamp(self.look.copy.stamp))
+            def answer(self: CopyRepair, sender: str, asked: repair.Compare) -> Send:
+                assert self.status.copy is not None
+                asked.stamp.CopyFrom(repair.stamp_message(self.status.copy.stamp))
                 return answered(self, sender, asked)
 
-            answered = Repair.answer
+            answered = CopyRepair.digest_reply
             for owner, name, what in (
-                (Store, "rows", any_rows),
-                (Repair, "under_way", under_way),
-                (Repair, "answer", answer),
+                (Store, "read_leaves", any_rows),
+                (CopyRepair, "current_comparison", under_way),
+                (CopyRepair, "digest_reply", answer),
             ):
                 stack.enter_context(mock.patch.object(owner, name, what))
         yield
@@ -258,19 +269,19 @@
         copies.do("1", "holds 3.7 x")
         copies.do("2", "holds 3.7 y")
         copies.do("1", "rot")
-        self.assertIsNone(copies.stores["1"].rows((3, 7), range(256)))
-        rows = copies.stores["2"].rows((3, 7), range(256))
+        self.assertIsNone(copies.stores["1"].read_leaves((3, 7), range(256)))
+        rows = copies.stores["2"].read_leaves((3, 7), range(256))
         assert rows is not None and copies.stores["1"].copy is not None
         root = copies.stores["1"].copy.tree.root
-        self.assertIsNone(copies.stores["2"].mended((3, 7), range(256), rows, root))
+        self.assertIsNone(copies.stores["2"].repaired_state((3, 7), range(256), rows, root))
 
     def test_an_import_without_its_check_is_found(self) -> None:
-        state = ordered(first_state(), Replace(1, BODY)).unwrap()
-        data = archive.packed(PersistentState(1, state))
+        state = apply_order(first_state(), ReplaceOrder(1, BODY)).unwrap()
+        data = archive.encode_export(PersistentState(1, state))
         spoilt = data.replace(b"h300.example", b"h301.example")
-        self.assertFalse(isinstance(archive.unpacked(spoilt), Success))
-        with mock.patch.object(archive, "intact", lambda data, kept: True):
-            self.assertIsInstance(archive.unpacked(spoilt), Success)
+        self.assertFalse(isinstance(archive.decode_export(spoilt), Success))
+        with mock.patch.object(archive, "is_intact", lambda data, kept: True):
+            self.assertIsInstance(archive.decode_export(spoilt), Success)
 
 
 class Disks(testtools.TestCase):
@@ -285,7 +296,7 @@
         self.notes: list[LogEvent] = []
 
     def kept(self, number: int) -> PersistentState:
-        return PersistentState(number, changed(first_state(), (number, number)))
+        return PersistentState(number, copy_state(first_state(), (number, number)))
 
     def test_a_disk_that_hangs_holds_up_nothing_and_the_newest_record_follows(self) -> None:
         hangs, saved, turns = threading.Event(), [], 0
@@ -346,7 +357,7 @@
             def feed(event: Input) -> None:
                 for out in member.handle(now, event):
                     if isinstance(out, Persist):
-                        saving.save(out.token, out.kept)
+                        saving.save(out.token, out.contents)
 
             async def until(look: Callable[[], bool]) -> None:
                 nonlocal now
@@ -360,11 +371,11 @@
                         await asyncio.sleep(0)
                 self.fail(f"not in {now / 1e6} s")
 
-            await until(lambda: member.holds(now))
-            feed(Submitted(1, Replace(1, BODY)))
+            await until(lambda: member.is_leader(now))
+            feed(Submitted(1, ReplaceOrder(1, BODY)))
             await until(lambda: member.committed.version == 1)
-            assert self.store.link is not None
-            self.store.link.execute("UPDATE chunk SET value = x'00'")
+            assert self.store.connection is not None
+            self.store.connection.execute("UPDATE chunk SET value = x'00'")
             noted = ["ROWS_SPOILT", "ROWS_MENDED"]
             await until(lambda: [n.event.name for n in messages if isinstance(n, LogEvent)] == noted)
             mending.close()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,13 +16,19 @@
 import testtools
 from returns.result import Failure, Success
 
-from vetchusher.control import PersistentState, Replace, SetEvacuation, Store, archive, formats
-from vetchusher.control.chunks import LEAST, MOST, name_of, split
-from vetchusher.control.database_file import APPLICATION, KEPT, NAME
-from vetchusher.control.digests import Tree, digests_of, small_rows, state_of
-from vetchusher.control.encoding import check_of, raw_of, value_of
-from vetchusher.control.restore import floor_of
-from vetchusher.control.state import changed, first_record, first_state, ordered, without_configuration
+from vetchusher.control import EvacuationOrder, PersistentState, ReplaceOrder, Store, archive, formats
+from vetchusher.control.chunks import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, chunk_digest, split_chunks
+from vetchusher.control.database_file import APPLICATION_ID, CREATE_ROW_TABLE, FILE_NAME
+from vetchusher.control.digests import DigestTree, field_rows, row_digests, state_from_rows
+from vetchusher.control.encoding import decode_value, encode_value, row_checksum
+from vetchusher.control.restore import imported_state_of
+from vetchusher.control.state import (
+    apply_order,
+    copy_state,
+    first_replica_set,
+    first_state,
+    without_configuration,
+)
 from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, Stamp, VoterState
 from vetchusher.emulator.control.world import Scene, World
 from vetchusher.emulator.fleet_world import MS, SECOND
@@ -53,9 +59,9 @@
         self.addCleanup(shutil.rmtree, self.folder)
 
     def kept(self, epoch: int, body: bytes = b"", version: int = 0) -> PersistentState:
-        state = changed(first_state(), (epoch, epoch))
-        state = ordered(state, Replace(version, body)).unwrap() if version else state
-        return PersistentState(epoch, state, "2", first_record("123"), copy=epoch != 3)
+        state = copy_state(first_state(), (epoch, epoch))
+        state = apply_order(state, ReplaceOrder(version, body)).unwrap() if version else state
+        return PersistentState(epoch, state, "2", first_replica_set("123"), has_copy=epoch != 3)
 
     def store(self, name: str = "own") -> Store:
         store = Store.open(str(self.folder / name)).unwrap()
@@ -68,7 +74,7 @@
         for kept in (self.kept(1), self.kept(2, b"big" * 100_000, 4), self.kept(3, b"big" * 100_000, 4)):
             self.assertEqual(Success(None), store.save(kept))
             self.assertEqual(Success(kept), store.load())
-        self.assertEqual({NAME, f"{NAME}-wal"}, {p.name for p in (self.folder / "own").iterdir()})
+        self.assertEqual({FILE_NAME, f"{FILE_NAME}-wal"}, {p.name for p in (self.folder / "own").iterdir()})
         store.close()
         self.assertEqual(Success(kept), self.store().load())
 
@@ -77,32 +83,32 @@
         store, one, two = self.store(), self.kept(1, b"a" * 9000, 1), self.kept(2, b"b" * 9000, 2)
         store.save(one)
         place = self.folder / "own"
-        synced = (place / f"{NAME}-wal").stat().st_size
+        synced = (place / f"{FILE_NAME}-wal").stat().st_size
         store.save(two)
-        log = (place / f"{NAME}-wal").read_bytes()
+        log = (place / f"{FILE_NAME}-wal").read_bytes()
         seen = set()
         for number, length in enumerate(range(synced, len(log) + 1, 2477)):
             for tail in (b"", b"\0" * 3000, b"x" * 3000):
                 torn = self.folder / f"torn{number}{len(tail)}{tail[:1]!r}"
                 torn.mkdir()
-                shutil.copy(place / NAME, torn / NAME)
-                (torn / f"{NAME}-wal").write_bytes(log[:length] + tail)
+                shutil.copy(place / FILE_NAME, torn / FILE_NAME)
+                (torn / f"{FILE_NAME}-wal").write_bytes(log[:length] + tail)
                 again = self.store(torn.name)
                 loaded = again.load()
                 self.assertIn(loaded, (Success(one), Success(two)))
-                seen.add(loaded.unwrap().promised)
+                seen.add(loaded.unwrap().voted_epoch)
                 again.close()
         self.assertEqual({1}, seen - {2})
 
     def test_foreign_and_newer_files_are_named_and_left_alone(self) -> None:
         self.store("newer").close()
-        link = sqlite3.connect(self.folder / "newer" / NAME)
+        link = sqlite3.connect(self.folder / "newer" / FILE_NAME)
         link.execute("PRAGMA user_version=99")
         link.close()
         (self.folder / "other").mkdir()
-        sqlite3.connect(self.folder / "other" / NAME).execute("CREATE TABLE t (x)").connection.close()
+        sqlite3.connect(self.folder / "other" / FILE_NAME).execute("CREATE TABLE t (x)").connection.close()
         (self.folder / "text").mkdir()
-        (self.folder / "text" / NAME).write_text("notes")
+        (self.folder / "text" / FILE_NAME).write_text("notes")
         for name in ("newer", "other", "text"):
             before = {p.name: p.read_bytes() for p in (self.folder / name).iterdir()}
             fault = Store.open(str(self.folder / name)).failure()
@@ -111,23 +117,23 @@
 
     def test_a_spoilt_file_is_found_and_a_new_one_begun(self) -> None:
         def rotten(store: Store) -> None:
-            assert store.link is not None
-            store.link.execute("UPDATE chunk SET value = 'rotten'")
+            assert store.connection is not None
+            store.connection.execute("UPDATE chunk SET value = 'rotten'")
 
         def foreign(store: Store) -> None:
             """A row of an earlier save, good in itself: the disk lost a write in the midst."""
-            assert store.link is not None
-            older = store.link.execute("SELECT * FROM kept WHERE name = 'promised'").fetchone()
+            assert store.connection is not None
+            older = store.connection.execute("SELECT * FROM kept WHERE name = 'promised'").fetchone()
             store.save(self.kept(9, b"body", 3))
-            store.link.execute("REPLACE INTO kept VALUES (?, ?, ?)", older)
+            store.connection.execute("REPLACE INTO kept VALUES (?, ?, ?)", older)
 
         def missing(store: Store) -> None:
-            assert store.link is not None
-            store.link.execute("DELETE FROM chunk")
+            assert store.connection is not None
+            store.connection.execute("DELETE FROM chunk")
 
         def garbage(store: Store) -> None:
             store.close()
-            file = store.folder / NAME
+            file = store.folder / FILE_NAME
             file.write_bytes(file.read_bytes()[:100] + b"x" * 5000)
 
         for spoil in (rotten, foreign, missing, garbage):
@@ -141,7 +147,8 @@
             store.close()
             self.assertEqual(Success(self.kept(6)), self.store(spoil.__name__).load())
             self.assertEqual(
-                {NAME, f"{NAME}.bad"}, {p.name for p in store.folder.iterdir() if "wal" not in p.name}
+                {FILE_NAME, f"{FILE_NAME}.bad"},
+                {p.name for p in store.folder.iterdir() if "wal" not in p.name},
             )
 
     def test_a_folder_in_use_stays_as_it_is(self) -> None:
@@ -155,15 +162,15 @@
         store, kept = self.store(), self.kept(1, routes(400), 1)
         store.save(kept)
         place = self.folder / "own"
-        log, before = (place / f"{NAME}-wal").read_bytes(), (place / NAME).read_bytes()
+        log, before = (place / f"{FILE_NAME}-wal").read_bytes(), (place / FILE_NAME).read_bytes()
         store.close()
-        after = (place / NAME).read_bytes()
+        after = (place / FILE_NAME).read_bytes()
         self.assertGreater(len(after), len(before))
         for length in range(0, len(after), 6 * 1024):
             torn = self.folder / f"torn{length}"
             torn.mkdir()
-            (torn / NAME).write_bytes(after[:length] + before[length:])
-            (torn / f"{NAME}-wal").write_bytes(log)
+            (torn / FILE_NAME).write_bytes(after[:length] + before[length:])
+            (torn / f"{FILE_NAME}-wal").write_bytes(log)
             again = self.store(torn.name)
             self.assertEqual(Success(kept), again.load())
             again.close()
@@ -174,17 +181,21 @@
         """A folder as the program wrote it whose format was 1."""
         place = self.folder / name
         place.mkdir()
-        link = sqlite3.connect(place / NAME, isolation_level=None)
-        link.execute(f"PRAGMA application_id={APPLICATION}")
+        link = sqlite3.connect(place / FILE_NAME, isolation_level=None)
+        link.execute(f"PRAGMA application_id={APPLICATION_ID}")
         link.execute("PRAGMA user_version=1")
-        link.execute(KEPT)
+        link.execute(CREATE_ROW_TABLE)
         head = without_configuration(kept.state).SerializeToString()
-        rows = {"promised": b"%d" % kept.promised, "state": head, "configuration": kept.state.configuration}
-        if kept.owner:
-            reconfiguration = VoterState(owner=kept.owner, record=kept.record, copy=kept.copy)
+        rows = {
+            "promised": b"%d" % kept.voted_epoch,
+            "state": head,
+            "configuration": kept.state.configuration,
+        }
+        if kept.voted_for:
+            reconfiguration = VoterState(owner=kept.voted_for, record=kept.replica_set, copy=kept.has_copy)
             rows["office"] = reconfiguration.SerializeToString()
         for row, value in rows.items():
-            link.execute("INSERT INTO kept VALUES (?, ?, ?)", (row, value, check_of(row, value)))
+            link.execute("INSERT INTO kept VALUES (?, ?, ?)", (row, value, row_checksum(row, value)))
         link.execute("PRAGMA journal_mode=WAL")
         link.close()
         return place
@@ -194,30 +205,30 @@
         place = self.first_format("old", kept)
         store = self.store("old")
         self.assertEqual(Success(kept), store.load())
-        assert store.link is not None
-        self.assertEqual([(2,)], store.link.execute("PRAGMA auto_vacuum").fetchall())
+        assert store.connection is not None
+        self.assertEqual([(2,)], store.connection.execute("PRAGMA auto_vacuum").fetchall())
         store.save(self.kept(8, routes(300), 4))
         store.close()
-        self.assertEqual({NAME}, {p.name for p in place.iterdir()})
+        self.assertEqual({FILE_NAME}, {p.name for p in place.iterdir()})
         self.assertEqual(Success(self.kept(8, routes(300), 4)), self.store("old").load())
 
     def test_power_lost_while_it_is_brought_up(self) -> None:
         """Any part of what was written is there: the folder is of the one format or of the other, whole."""
         kept = self.kept(7, routes(100), 4)
         place = self.first_format("old", kept)
-        before = (place / NAME).read_bytes()
-        with mock.patch.object(formats, "settle", wraps=formats.settle) as settle:
-            link = sqlite3.connect(place / NAME, isolation_level=None)
+        before = (place / FILE_NAME).read_bytes()
+        with mock.patch.object(formats, "run_pragmas", wraps=formats.run_pragmas) as settle:
+            link = sqlite3.connect(place / FILE_NAME, isolation_level=None)
             settle(link, ["locking_mode=EXCLUSIVE", "journal_mode=WAL", "synchronous=FULL"])
-            with mock.patch.object(formats, "settle", lambda link, pragmas: settle(link, only(pragmas))):
-                self.assertTrue(formats.migrated(link))
-            log = (place / f"{NAME}-wal").read_bytes()
+            with mock.patch.object(formats, "run_pragmas", lambda link, pragmas: settle(link, only(pragmas))):
+                self.assertTrue(formats.migrate(link))
+            log = (place / f"{FILE_NAME}-wal").read_bytes()
         formats_seen = set()
         for length in [*range(0, len(log), 4111), len(log)]:
             torn = self.folder / f"torn{length}"
             torn.mkdir()
-            (torn / NAME).write_bytes(before)
-            (torn / f"{NAME}-wal").write_bytes(log[:length])
+            (torn / FILE_NAME).write_bytes(before)
+            (torn / f"{FILE_NAME}-wal").write_bytes(log[:length])
             formats_seen.add(format_in(torn))
             again = self.store(torn.name)
             self.assertEqual(Success(kept), again.load())
@@ -227,7 +238,7 @@
 
     def test_a_spoilt_store_of_the_first_format_is_forgotten_not_brought_up(self) -> None:
         place = self.first_format("old", self.kept(7, b"body", 4))
-        link = sqlite3.connect(place / NAME, isolation_level=None)
+        link = sqlite3.connect(place / FILE_NAME, isolation_level=None)
         link.execute("UPDATE kept SET value = 'rotten' WHERE name = 'promised'")
         link.close()
         store = self.store("old")
@@ -243,32 +254,34 @@
             (bool, True),
             (Stamp, Stamp(epoch=3)),
         ):
-            self.assertEqual(value, value_of(hint, raw_of(value)))
-        self.assertEqual("a", value_of(str | None, b"a"))
+            self.assertEqual(value, decode_value(hint, encode_value(value)))
+        self.assertEqual("a", decode_value(str | None, b"a"))
 
     # -- chunks, and bounds --------------------------------------------------------------------
 
     def test_a_body_in_chunks_is_the_same_body_and_a_change_moves_few(self) -> None:
         bodies = [b"", b"{}", routes(500), b"}" * 100_000, b"{" * 100_000, bytes(range(256)) * 999]
         for body in bodies:
-            pieces = split(body)
+            pieces = split_chunks(body)
             self.assertEqual(body, b"".join(pieces))
-            self.assertEqual([], [len(p) for p in pieces[:-1] if not LEAST <= len(p) <= MOST])
-        before, after = ({name_of(p) for p in split(routes(5000, 1, at))} for at in (-1, 2500))
+            self.assertEqual(
+                [], [len(p) for p in pieces[:-1] if not MIN_CHUNK_BYTES <= len(p) <= MAX_CHUNK_BYTES]
+            )
+        before, after = ({chunk_digest(p) for p in split_chunks(routes(5000, 1, at))} for at in (-1, 2500))
         self.assertThat(len(after - before), testtools.matchers.LessThan(4))
         self.assertThat(len(before), testtools.matchers.GreaterThan(100))
 
     def test_a_changed_route_writes_its_chunk_and_what_is_gone_leaves(self) -> None:
         store = self.store()
         store.save(self.kept(1, routes(5000), 1))
-        first, log = store.chunks, store.folder / f"{NAME}-wal"
-        assert store.link is not None
-        store.link.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        first, log = store.chunk_digests, store.folder / f"{FILE_NAME}-wal"
+        assert store.connection is not None
+        store.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         store.save(self.kept(1, routes(5000, changed_at=2500), 2))
         self.assertThat(log.stat().st_size, testtools.matchers.LessThan(120_000))
-        self.assertThat(len(store.chunks ^ first), testtools.matchers.LessThan(8))
-        on_disk = {name for (name,) in store.link.execute("SELECT name FROM chunk")}
-        self.assertEqual(store.chunks, on_disk)
+        self.assertThat(len(store.chunk_digests ^ first), testtools.matchers.LessThan(8))
+        on_disk = {name for (name,) in store.connection.execute("SELECT name FROM chunk")}
+        self.assertEqual(store.chunk_digests, on_disk)
 
     def test_the_folder_stays_in_its_bounds(self) -> None:
         store, rng = Store.open(str(self.folder / "own"), 8).unwrap(), random.Random(1)
@@ -280,9 +293,9 @@
             most = max(most, sum(p.stat().st_size for p in store.folder.iterdir()))
         self.assertThat(most, testtools.matchers.LessThan(8 << 20))
         store.save(self.kept(60, routes(5, 60), 60))
-        assert store.link is not None
-        store.link.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-        self.assertThat((store.folder / NAME).stat().st_size, testtools.matchers.LessThan(400_000))
+        assert store.connection is not None
+        store.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        self.assertThat((store.folder / FILE_NAME).stat().st_size, testtools.matchers.LessThan(400_000))
 
     def test_what_is_too_much_for_the_disk_is_refused_and_what_was_held_stays(self) -> None:
         store = Store.open(str(self.folder / "own"), 4).unwrap()
@@ -298,12 +311,12 @@
     def test_a_full_disk_keeps_what_it_held_and_recovers_by_itself(self) -> None:
         store, one = self.store(), self.kept(1, routes(500), 1)
         store.save(one)
-        (store.folder / f"{NAME}.bad").write_bytes(b"x")
-        with full_beyond(sum(p.stat().st_size for p in store.folder.glob(f"{NAME}*"))):
+        (store.folder / f"{FILE_NAME}.bad").write_bytes(b"x")
+        with full_beyond(sum(p.stat().st_size for p in store.folder.glob(f"{FILE_NAME}*"))):
             outcome = store.save(self.kept(2, routes(4000), 2))
             self.assertEqual(Kind.BAD_STORE, outcome.failure().kind)
             self.assertEqual(Success(one), store.load())
-        self.assertFalse((store.folder / f"{NAME}.bad").exists())  # the first that goes
+        self.assertFalse((store.folder / f"{FILE_NAME}.bad").exists())  # the first that goes
         two = self.kept(3, routes(4000), 3)
         self.assertEqual(Success(None), store.save(two))
         store.close()
@@ -328,7 +341,7 @@
 
 def format_in(folder: Path) -> int:
     with tempfile.TemporaryDirectory() as place:
-        link = sqlite3.connect(shutil.copytree(folder, Path(place) / "copy") / NAME)
+        link = sqlite3.connect(shutil.copytree(folder, Path(place) / "copy") / FILE_NAME)
         ((found,),) = link.execute("PRAGMA user_version").fetchall()
         link.close()
     return int(found)
@@ -339,37 +352,39 @@
         super().setUp()
         self.folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
-        state = ordered(changed(first_state(), (5, 9)), Replace(4, routes(20, 4))).unwrap()
-        self.kept = PersistentState(5, ordered(state, SetEvacuation("north", True)).unwrap())
+        state = apply_order(copy_state(first_state(), (5, 9)), ReplaceOrder(4, routes(20, 4))).unwrap()
+        self.kept = PersistentState(5, apply_order(state, EvacuationOrder("north", True)).unwrap())
 
     def test_any_wrong_byte_is_refused(self) -> None:
-        data = archive.packed(self.kept)
-        self.assertEqual(Success(self.kept), archive.unpacked(data))
+        data = archive.encode_export(self.kept)
+        self.assertEqual(Success(self.kept), archive.decode_export(data))
         for place in range(0, len(data), 7):
-            self.assertIsInstance(archive.unpacked(spoilt(data, place)), Failure, place)
+            self.assertIsInstance(archive.decode_export(spoilt(data, place)), Failure, place)
         for other in (b"", data[:-1], data + b"x", data.replace(b"export 1", b"export 2", 1)):
-            self.assertEqual(1, len(archive.unpacked(other).failure().text.splitlines()))
+            self.assertEqual(1, len(archive.decode_export(other).failure().text.splitlines()))
 
     def test_an_import_is_no_memory_until_it_has_been_saved(self) -> None:
-        floor = floor_of(self.kept, 1_700_000_000)
-        self.assertEqual(Success(None), archive.bring_in(self.folder / "new", floor))
-        self.assertIsInstance(archive.bring_in(self.folder / "new", floor), Failure)
+        floor = imported_state_of(self.kept, 1_700_000_000)
+        self.assertEqual(Success(None), archive.import_into(self.folder / "new", floor))
+        self.assertIsInstance(archive.import_into(self.folder / "new", floor), Failure)
         store = Store.open(str(self.folder / "new")).unwrap()
         self.addCleanup(store.close)
-        self.assertEqual((Success(None), floor), (store.load(), store.floor))
+        self.assertEqual((Success(None), floor), (store.load(), store.imported_state))
         store.save(self.kept)
-        self.assertEqual((Success(self.kept), None), (store.load(), store.floor))
+        self.assertEqual((Success(self.kept), None), (store.load(), store.imported_state))
 
     def test_floors_only_grow(self) -> None:
-        again = floor_of(floor_of(self.kept, 0), 0)
-        self.assertThat(again.promised, testtools.matchers.GreaterThan(floor_of(self.kept, 0).promised))
-        self.assertEqual(1_800_000_000, floor_of(self.kept, 1_800_000_000).promised)
+        again = imported_state_of(imported_state_of(self.kept, 0), 0)
+        self.assertThat(
+            again.voted_epoch, testtools.matchers.GreaterThan(imported_state_of(self.kept, 0).voted_epoch)
+        )
+        self.assertEqual(1_800_000_000, imported_state_of(self.kept, 1_800_000_000).voted_epoch)
 
     def test_one_machine_restored_from_an_old_export_harms_nobody(self) -> None:
         for wiped in "123":
             world = started()
             acked(world, 5)
-            old = floor_of(copy_in(world), 0)
+            old = imported_state_of(copy_in(world), 0)
             acked(world, 6)
             world.wipe(wiped)
             world.floors[wiped] = old
@@ -378,18 +393,20 @@
             held = world.machines[wiped].disk
             assert held is not None
             self.assertEqual((6, []), (read_back(world), world.judge.wrong))
-            self.assertThat(held.promised, testtools.matchers.LessThan(old.promised))
+            self.assertThat(held.voted_epoch, testtools.matchers.LessThan(old.voted_epoch))
 
     def test_a_core_whose_disks_are_all_gone_begins_from_the_highest_export(self) -> None:
         for given in ("1", "3", "12", "123"):
             world = started()
             acked(world, 5)
-            floor = floor_of(copy_in(world), 0)
+            floor = imported_state_of(copy_in(world), 0)
             for ip in world.seeds:
                 world.wipe(ip)
             world.judge.wrong.clear()
             world.floors = {
-                ip: PersistentState(floor.promised + n, changed(floor.state, (floor.promised + n, 0)))
+                ip: PersistentState(
+                    floor.voted_epoch + n, copy_state(floor.state, (floor.voted_epoch + n, 0))
+                )
                 for n, ip in enumerate(given)
             }
             for ip in world.seeds:
@@ -398,8 +415,8 @@
             for ip in world.seeds:
                 held = world.machines[ip].disk
                 assert held is not None
-                self.assertEqual(5 if held.copy else 0, held.state.version)
-                self.assertThat(held.promised, testtools.matchers.GreaterThan(floor.promised))
+                self.assertEqual(5 if held.has_copy else 0, held.state.version)
+                self.assertThat(held.voted_epoch, testtools.matchers.GreaterThan(floor.voted_epoch))
             self.assertEqual(5, read_back(world))
 
 
@@ -413,7 +430,7 @@
 
 def copy_in(world: World) -> PersistentState:
     """What a disk holds that has a copy."""
-    return next(m.disk for m in world.machines.values() if m.disk is not None and m.disk.copy)
+    return next(m.disk for m in world.machines.values() if m.disk is not None and m.disk.has_copy)
 
 
 def read_back(world: World) -> int | None:
@@ -440,22 +457,22 @@
     def test_rows_make_the_state_again_and_ranges_tell_where_two_differ(self) -> None:
         state = first_state()
         for zone in ("b", "a"):
-            state = ordered(state, SetEvacuation(zone, True)).unwrap()
-        state = ordered(state, Replace(3, routes(300))).unwrap()
-        chunks = split(state.configuration)
-        rows = small_rows(state) | {f"chunk/{n:08d}": piece for n, piece in enumerate(chunks)}
-        self.assertEqual(changed(state, (0, 0)), changed(state_of(rows), (0, 0)))
-        names = [name_of(piece) for piece in chunks]
-        own = Tree.over(digests_of(state, names))
-        self.assertEqual([], own.differing(0, own.told(0, ())))
-        other = Tree.over(digests_of(state, [b"x" * 16, *names[1:]]))
+            state = apply_order(state, EvacuationOrder(zone, True)).unwrap()
+        state = apply_order(state, ReplaceOrder(3, routes(300))).unwrap()
+        chunks = split_chunks(state.configuration)
+        rows = field_rows(state) | {f"chunk/{n:08d}": piece for n, piece in enumerate(chunks)}
+        self.assertEqual(copy_state(state, (0, 0)), copy_state(state_from_rows(rows), (0, 0)))
+        names = [chunk_digest(piece) for piece in chunks]
+        own = DigestTree.of_rows(row_digests(state, names))
+        self.assertEqual([], own.differing_ranges(0, own.range_digests(0, ())))
+        other = DigestTree.of_rows(row_digests(state, [b"x" * 16, *names[1:]]))
         ranges: list[int] = []
         for level in range(3):
-            ranges = own.differing(level, other.told(level, ranges))
+            ranges = own.differing_ranges(level, other.range_digests(level, ranges))
             self.assertEqual(1, len(ranges))
         for changed_state in (
             ControlState(members="12"),
             ControlState(version=9),
             ControlState(evacuations=[Evacuation()]),
         ):
-            self.assertNotEqual(own.root, Tree.over(digests_of(changed_state, names)).root)
+            self.assertNotEqual(own.root, DigestTree.of_rows(row_digests(changed_state, names)).root)
--- a/vetchusher/control/amnesia.py
+++ b/vetchusher/control/amnesia.py
@@ -22,10 +22,10 @@
 )
 
 from .messages import Output, PersistentState, Send, Timing
-from .restore import begun_from
-from .state import first_record, first_state, has_quorum, newest, voters
+from .restore import bootstrap_state
+from .state import first_replica_set, first_state, has_quorum, newest_replica_set, voters
 
-MOST_MET = 64
+MAX_CALLERS = 64
 
 
 class AmnesiaRecovery:
@@ -35,73 +35,81 @@
     def __init__(
         self,
         timing: Timing,
-        me: str,
+        own_ip: str,
         seeds: Sequence[str],
         rng: random.Random,
         now: int,
-        floor: PersistentState | None = None,
+        imported_state: PersistentState | None = None,
     ) -> None:
         """:param floor: what an import brought: where nobody remembers, all begin from the highest"""
-        self.floor = floor
+        self.imported_state = imported_state
         self.timing = timing
-        self.me = me
+        self.own_ip = own_ip
         self.seeds = tuple(seeds)
-        self.began = now
-        self.begins = now + timing.lease_us
-        self.asked_at = now - timing.recall_us
+        self.began_at = now
+        self.first_request_at = now + timing.lease_duration_us
+        self.last_request_at = now - timing.recovery_interval_us
         self.round = rng.randrange(1, 1 << 32)
-        self.answers: dict[str, RecoveryReply] = {}
-        self.met: set[str] = set()  # who called; whoever does may remember
+        self.replies: dict[str, RecoveryReply] = {}
+        self.callers: set[str] = set()  # who called; whoever does may remember
 
     def tick(self, now: int) -> list[Output]:
-        if now < max(self.begins, self.asked_at + self.timing.recall_us):
+        if now < max(self.first_request_at, self.last_request_at + self.timing.recovery_interval_us):
             return []
-        self.asked_at = now
+        self.last_request_at = now
         message = ControlMessage(recovery_request=RecoveryRequest(round=self.round))
-        return [Send(ip, message) for ip in sorted(self.contacts()) if not self.remembers(ip)]
+        return [Send(ip, message) for ip in sorted(self.contacts()) if not self.is_intact(ip)]
 
     def contacts(self) -> set[str]:
-        return {*self.seeds, *self.met, *voters(self.record() or ReplicaSet())} - {self.me}
+        return {*self.seeds, *self.callers, *voters(self.newest_replica_set() or ReplicaSet())} - {
+            self.own_ip
+        }
 
-    def meet(self, sender: str) -> None:
-        if len(self.met) < MOST_MET:
-            self.met.add(sender)
+    def on_contact(self, sender: str) -> None:
+        if len(self.callers) < MAX_CALLERS:
+            self.callers.add(sender)
 
-    def remembers(self, ip: str) -> bool:
-        return ip in self.answers and not self.answers[ip].amnesiac
+    def is_intact(self, ip: str) -> bool:
+        return ip in self.replies and not self.replies[ip].amnesiac
 
-    def heard(self, sender: str, answer: RecoveryReply) -> None:
-        if answer.round == self.round and sender in self.contacts() and not self.remembers(sender):
-            self.answers[sender] = answer
+    def on_reply(self, sender: str, reply: RecoveryReply) -> None:
+        if reply.round == self.round and sender in self.contacts() and not self.is_intact(sender):
+            self.replies[sender] = reply
 
-    def record(self) -> ReplicaSet | None:
+    def newest_replica_set(self) -> ReplicaSet | None:
         """The newest that anybody who remembers told; None: nobody remembers yet."""
-        told = [a.record for a in self.answers.values() if not a.amnesiac and a.record.members]
-        return newest(told) if told else None
+        replica_sets = [a.record for a in self.replies.values() if not a.amnesiac and a.record.members]
+        return newest_replica_set(replica_sets) if replica_sets else None
 
-    def done(self, now: int) -> PersistentState | None:
+    def recovered_state(self, now: int) -> PersistentState | None:
         """What this machine may go on with, as soon as enough have answered."""
-        record = self.record()
-        if record is None:
-            return self.anew(now)
-        others = voters(record) - {self.me}
-        remembering = {ip for ip in others if self.remembers(ip)}
-        if not has_quorum(record, remembering) and not others <= self.answers.keys():
+        replica_set = self.newest_replica_set()
+        if replica_set is None:
+            return self.bootstrap(now)
+        others = voters(replica_set) - {self.own_ip}
+        intact = {ip for ip in others if self.is_intact(ip)}
+        if not has_quorum(replica_set, intact) and not others <= self.replies.keys():
             return None
-        promise = max(self.answers.values(), key=lambda a: a.promised)
-        return PersistentState(promise.promised, ControlState(), promise.owner, record, copy=False)
+        newest_vote = max(self.replies.values(), key=lambda a: a.promised)
+        return PersistentState(
+            newest_vote.promised, ControlState(), newest_vote.owner, replica_set, has_copy=False
+        )
 
-    def anew(self, now: int) -> PersistentState | None:
+    def bootstrap(self, now: int) -> PersistentState | None:
         """All seeds have forgotten too, and nobody else has called: the system begins anew.
 
         Danger: members that are not among the seeds may remember, and only be on their way back; so this
         waits long, and asks whoever calls.
         """
-        everybody = self.contacts() <= self.answers.keys()
-        if self.me not in self.seeds or not everybody or now < self.began + self.timing.anew_us:
+        all_replied = self.contacts() <= self.replies.keys()
+        if (
+            self.own_ip not in self.seeds
+            or not all_replied
+            or now < self.began_at + self.timing.bootstrap_delay_us
+        ):
             return None
-        told = [a.floor for a in self.answers.values() if a.HasField("floor")]
-        floors = told + ([self.floor.state] if self.floor is not None else [])
-        return begun_from(floors, self.seeds) or PersistentState(
-            0, first_state(), record=first_record(self.seeds)
+        imported = [a.floor for a in self.replies.values() if a.HasField("floor")]
+        imported_states = imported + ([self.imported_state.state] if self.imported_state is not None else [])
+        return bootstrap_state(imported_states, self.seeds) or PersistentState(
+            0, first_state(), replica_set=first_replica_set(self.seeds)
         )
--- a/vetchusher/control/archive.py
+++ b/vetchusher/control/archive.py
@@ -17,84 +17,84 @@
 from vetchusher.distribution.wire_pb2 import Row, SourceNews
 from vetchusher.kinds import Fault, Kind
 
-from .database_file import create, sync
-from .encoding import cells_of, kept_of
+from .database_file import create_database, fsync_path
+from .encoding import decode_rows, encode_rows
 from .messages import PersistentState
-from .store import IMPORTED, Store
+from .store import IMPORTED_ROW, Store
 
-FIRST_LINE = b"vetchusher comb export "
-FORM = 1
-BODY = "configuration"
+EXPORT_PREFIX = b"vetchusher comb export "
+EXPORT_FORMAT = 1
+BODY_ROW = "configuration"
 
 
-def packed(kept: PersistentState) -> bytes:
+def encode_export(contents: PersistentState) -> bytes:
     """A line that names the form, a line with the digest of all that follows, and the rows."""
-    rows, body = cells_of(kept)
-    told = SourceNews(source="control", whole=True, stamp=kept.state.stamp)
-    told.rows.extend(Row(key=name, value=value) for name, value in {**rows, BODY: body}.items())
-    raw = told.SerializeToString(deterministic=True)
-    return FIRST_LINE + b"%d\n" % FORM + blake3(raw).hexdigest().encode() + b"\n" + raw
+    rows, body = encode_rows(contents)
+    export = SourceNews(source="control", whole=True, stamp=contents.state.stamp)
+    export.rows.extend(Row(key=name, value=value) for name, value in {**rows, BODY_ROW: body}.items())
+    raw = export.SerializeToString(deterministic=True)
+    return EXPORT_PREFIX + b"%d\n" % EXPORT_FORMAT + blake3(raw).hexdigest().encode() + b"\n" + raw
 
 
-def unpacked(data: bytes) -> Result[PersistentState, Fault]:
+def decode_export(data: bytes) -> Result[PersistentState, Fault]:
     """What `packed` was given; any other byte anywhere is a failure in a line."""
-    first, _, rest = data.partition(b"\n")
-    if not first.startswith(FIRST_LINE) or not first.removeprefix(FIRST_LINE).isdigit():
-        return bad("is no export of this system")
-    form = int(first.removeprefix(FIRST_LINE))
-    if form > FORM:
-        return bad(f"form {form} is newer than {FORM}")
-    _, _, raw = rest.partition(b"\n")
+    header, _, remainder = data.partition(b"\n")
+    if not header.startswith(EXPORT_PREFIX) or not header.removeprefix(EXPORT_PREFIX).isdigit():
+        return failure("is no export of this system")
+    version = int(header.removeprefix(EXPORT_PREFIX))
+    if version > EXPORT_FORMAT:
+        return failure(f"form {version} is newer than {EXPORT_FORMAT}")
+    _, _, raw = remainder.partition(b"\n")
     try:
-        news = SourceNews.FromString(raw)
-        rows = {row.key: row.value for row in news.rows}
-        body = rows.pop(BODY)
-        kept = kept_of(rows, body)
+        export = SourceNews.FromString(raw)
+        rows = {row.key: row.value for row in export.rows}
+        body = rows.pop(BODY_ROW)
+        contents = decode_rows(rows, body)
     except (DecodeError, KeyError, ValueError, TypeError) as error:
-        return bad(f"{type(error).__name__} {error}")
-    return Success(kept) if intact(data, kept) else bad("is not as it was written")
+        return failure(f"{type(error).__name__} {error}")
+    return Success(contents) if is_intact(data, contents) else failure("is not as it was written")
 
 
-def intact(data: bytes, kept: PersistentState) -> bool:
+def is_intact(data: bytes, contents: PersistentState) -> bool:
     """Whether nothing else could have been written; the digest is part of it."""
-    return packed(kept) == data
+    return encode_export(contents) == data
 
 
-def write_file(path: Path, kept: PersistentState) -> Result[None, Fault]:
+def write_export(path: Path, contents: PersistentState) -> Result[None, Fault]:
     """Whole and synced, or nothing; a file that is there stays."""
-    made = path.with_name(f"{path.name}.new")
+    temporary = path.with_name(f"{path.name}.new")
     try:
         if path.exists():
-            return bad("exists already")
-        made.write_bytes(packed(kept))
-        sync(made)
-        made.replace(path)
-        sync(path.parent)
+            return failure("exists already")
+        temporary.write_bytes(encode_export(contents))
+        fsync_path(temporary)
+        temporary.replace(path)
+        fsync_path(path.parent)
         return Success(None)
     except OSError as error:
-        return bad(error.strerror or str(error))
+        return failure(error.strerror or str(error))
     finally:
-        made.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
 
 
-def read_file(path: Path) -> Result[PersistentState, Fault]:
+def read_export(path: Path) -> Result[PersistentState, Fault]:
     try:
-        return unpacked(path.read_bytes())
+        return decode_export(path.read_bytes())
     except OSError as error:
-        return bad(error.strerror or str(error))
+        return failure(error.strerror or str(error))
 
 
-def bring_in(folder: Path, floor: PersistentState) -> Result[None, Fault]:
+def import_into(folder: Path, imported_state: PersistentState) -> Result[None, Fault]:
     """Into a folder that is empty or absent: whole and synced, or nothing."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.iterdir()):
-            return bad("is not empty")
-        create(folder, lambda link: Store(folder, link).write(link, floor, (IMPORTED,)))
+            return failure("is not empty")
+        create_database(folder, lambda link: Store(folder, link).write(link, imported_state, (IMPORTED_ROW,)))
         return Success(None)
     except (OSError, sqlite3.Error) as error:
-        return bad(getattr(error, "strerror", None) or str(error))
+        return failure(getattr(error, "strerror", None) or str(error))
 
 
-def bad(text: str) -> Failure[Fault]:
+def failure(text: str) -> Failure[Fault]:
     return Failure(Fault(Kind.BAD_STORE, text))
--- a/vetchusher/control/chunks.py
+++ b/vetchusher/control/chunks.py
@@ -10,38 +10,38 @@
 
 from blake3 import blake3
 
-END = b"}"
-LEAST, MOST = 1024, 32_768  # bytes of a chunk; the last one may have less
-STEP = 16  # between two braces that are looked at: a body may consist of braces
-MASK = 15  # one brace in 16 ends a chunk: 1 kB and 16 objects on average
+CLOSING_BRACE = b"}"
+MIN_CHUNK_BYTES, MAX_CHUNK_BYTES = 1024, 32_768  # bytes of a chunk; the last one may have less
+MIN_BOUNDARY_DISTANCE = 16  # between two braces that are looked at: a body may consist of braces
+BOUNDARY_MASK = 15  # one brace in 16 ends a chunk: 1 kB and 16 objects on average
 DIGEST_BYTES = 16
 
 
-def split(body: bytes) -> list[bytes]:
+def split_chunks(body: bytes) -> list[bytes]:
     """Chunks that make the body again when they are put together; none of an empty one."""
-    found, start = [], 0
+    chunks, start = [], 0
     while start < len(body):
-        end = end_of(body, start)
-        found.append(body[start:end])
+        end = chunk_end(body, start)
+        chunks.append(body[start:end])
         start = end
-    return found
+    return chunks
 
 
-def end_of(body: bytes, start: int) -> int:
-    most = min(start + MOST, len(body))
-    before = body.find(END, start + LEAST, most)
-    while before >= 0:
-        at = body.find(END, before + STEP, most)
-        if at >= 0 and not crc32(body[before:at]) & MASK:
-            return at + 1
-        before = at
-    return most
+def chunk_end(body: bytes, start: int) -> int:
+    limit = min(start + MAX_CHUNK_BYTES, len(body))
+    previous = body.find(CLOSING_BRACE, start + MIN_CHUNK_BYTES, limit)
+    while previous >= 0:
+        position = body.find(CLOSING_BRACE, previous + MIN_BOUNDARY_DISTANCE, limit)
+        if position >= 0 and not crc32(body[previous:position]) & BOUNDARY_MASK:
+            return position + 1
+        previous = position
+    return limit
 
 
-def name_of(chunk: bytes) -> bytes:
+def chunk_digest(chunk: bytes) -> bytes:
     return blake3(chunk).digest(DIGEST_BYTES)
 
 
-def listed(manifest: bytes) -> list[bytes]:
+def parse_manifest(manifest: bytes) -> list[bytes]:
     """Names of the chunks in a manifest, in their order."""
     return [manifest[at : at + DIGEST_BYTES] for at in range(0, len(manifest), DIGEST_BYTES)]
--- a/vetchusher/control/deltas.py
+++ b/vetchusher/control/deltas.py
@@ -12,37 +12,37 @@
 
 from vetchusher.distribution.wire_pb2 import BodyDelta
 
-from .chunks import DIGEST_BYTES, listed, name_of, split
-from .state import START, Point
+from .chunks import DIGEST_BYTES, chunk_digest, parse_manifest, split_chunks
+from .state import ZERO_STAMP, StampTuple
 
-LEAST_SPARED = 2  # a delta is sent where the whole is so many times its size
+MIN_SAVINGS_RATIO = 2  # a delta is sent where the whole is so many times its size
 
 
-def chunked(body: bytes) -> list[tuple[bytes, bytes]]:
+def digested_chunks(body: bytes) -> list[tuple[bytes, bytes]]:
     """Chunks with their names, in their order."""
-    return [(name_of(chunk), chunk) for chunk in split(body)]
+    return [(chunk_digest(chunk), chunk) for chunk in split_chunks(body)]
 
 
-def body_delta(held: Iterable[bytes], chunks: list[tuple[bytes, bytes]]) -> BodyDelta | None:
+def make_delta(held_digests: Iterable[bytes], chunks: list[tuple[bytes, bytes]]) -> BodyDelta | None:
     """What a reader lacks that holds chunks of those names; None: the whole is hardly larger."""
-    known = frozenset(held)
-    lacked = {name: chunk for name, chunk in chunks if name not in known}
-    size = DIGEST_BYTES * len(chunks) + sum(map(len, lacked.values()))
-    if LEAST_SPARED * size > sum(len(chunk) for _, chunk in chunks):
+    known = frozenset(held_digests)
+    missing = {name: chunk for name, chunk in chunks if name not in known}
+    size = DIGEST_BYTES * len(chunks) + sum(map(len, missing.values()))
+    if MIN_SAVINGS_RATIO * size > sum(len(chunk) for _, chunk in chunks):
         return None
-    return BodyDelta(manifest=b"".join(name for name, _ in chunks), chunks=list(lacked.values()))
+    return BodyDelta(manifest=b"".join(name for name, _ in chunks), chunks=list(missing.values()))
 
 
-def body_of(delta: BodyDelta, held: bytes) -> bytes | None:
+def apply_delta(delta: BodyDelta, held_body: bytes) -> bytes | None:
     """The body that was sent, from a delta and the body held here; None: a chunk of it is in neither."""
-    known = dict(chunked(held)) | {name_of(chunk): chunk for chunk in delta.chunks}
-    names = listed(delta.manifest)
+    known = dict(digested_chunks(held_body)) | {chunk_digest(chunk): chunk for chunk in delta.chunks}
+    names = parse_manifest(delta.manifest)
     if any(name not in known for name in names):
         return None
     return b"".join(known[name] for name in names)
 
 
-class BodyHistory:
+class ConfigurationHistory:
     """It owns the names of the newest body's chunks and of the one's before, and the delta between the two.
 
     :param since: from which stamp on copies of this epoch have the newest body
@@ -50,33 +50,33 @@
     """
 
     def __init__(self) -> None:
-        self.since: Point = START
-        self.former_since: Point = START
-        self.body = b""
-        self.former = b""
-        self.names: tuple[bytes, ...] = ()  # of the newest body, once they were needed
-        self.former_names: tuple[bytes, ...] = ()
-        self.made: BodyDelta | None = None
-        self.is_made = False
-
-    def advance(self, stamp: Point, body: bytes, former: bytes, former_since: Point) -> None:
+        self.current_since: StampTuple = ZERO_STAMP
+        self.previous_since: StampTuple = ZERO_STAMP
+        self.current = b""
+        self.previous = b""
+        self.current_digests: tuple[bytes, ...] = ()  # of the newest body, once they were needed
+        self.previous_digests: tuple[bytes, ...] = ()
+        self.cached_delta: BodyDelta | None = None
+        self.is_cached = False
+
+    def advance(self, stamp: StampTuple, current: bytes, previous: bytes, previous_since: StampTuple) -> None:
         """A write under that stamp carries another body, or is the first of its epoch."""
-        self.former_names = self.names if former == self.body else ()
-        self.since, self.former_since = stamp, former_since
-        self.body, self.former, self.names = body, former, ()
-        self.made, self.is_made = None, False
+        self.previous_digests = self.current_digests if previous == self.current else ()
+        self.current_since, self.previous_since = stamp, previous_since
+        self.current, self.previous, self.current_digests = current, previous, ()
+        self.cached_delta, self.is_cached = None, False
 
     def delta(self) -> BodyDelta | None:
         """For a reader that holds the former body; made once for all readers."""
-        if not self.is_made:
-            self.made, self.is_made = self.make(), True
-            self.former = b""
-        return self.made
+        if not self.is_cached:
+            self.cached_delta, self.is_cached = self.compute_delta(), True
+            self.previous = b""
+        return self.cached_delta
 
-    def make(self) -> BodyDelta | None:
-        if not self.body or not self.former:
+    def compute_delta(self) -> BodyDelta | None:
+        if not self.current or not self.previous:
             return None
-        chunks = chunked(self.body)
-        self.names = tuple(name for name, _ in chunks)
-        held = self.former_names or [name for name, _ in chunked(self.former)]
-        return body_delta(held, chunks)
+        chunks = digested_chunks(self.current)
+        self.current_digests = tuple(name for name, _ in chunks)
+        held_digests = self.previous_digests or [name for name, _ in digested_chunks(self.previous)]
+        return make_delta(held_digests, chunks)
--- a/vetchusher/control/digests.py
+++ b/vetchusher/control/digests.py
@@ -14,16 +14,21 @@
 
 from vetchusher.distribution.wire_pb2 import ControlState
 
-FAN = 16
-LEAVES = FAN * FAN
+FAN_OUT = 16
+LEAVES = FAN_OUT * FAN_OUT
 DEPTH = 2  # levels below the root: 1 of nodes, 2 of leaves
-BYTES = 16
+DIGEST_BYTES = 16
 CHUNK, EVACUATION, FIELD = "chunk/", "evacuation/", "field/"
-APART = {"stamp", "configuration", "configuration_left_out", "evacuations"}  # fields that have no row
+FIELDS_WITHOUT_ROW = {
+    "stamp",
+    "configuration",
+    "configuration_left_out",
+    "evacuations",
+}  # fields that have no row
 
 
 def digest(value: bytes) -> bytes:
-    return blake3(value).digest(BYTES)
+    return blake3(value).digest(DIGEST_BYTES)
 
 
 def leaf_of(key: str) -> int:
@@ -34,14 +39,14 @@
     return f"{CHUNK}{number:08d}"
 
 
-def small_rows(state: ControlState) -> dict[str, bytes]:
+def field_rows(state: ControlState) -> dict[str, bytes]:
     """Rows of all but the configuration; a field that this program does not know is part of none."""
     rows = {f"{EVACUATION}{e.zone}": e.SerializeToString(deterministic=True) for e in state.evacuations}
     bare = ControlState()
     bare.CopyFrom(state)
     bare.ClearField("configuration")  # of some MB; it is not to be copied for each field
     for field, _ in state.ListFields():
-        if field.name not in APART:
+        if field.name not in FIELDS_WITHOUT_ROW:
             alone = ControlState()
             alone.CopyFrom(bare)
             for other, _ in bare.ListFields():
@@ -51,13 +56,13 @@
     return rows
 
 
-def digests_of(state: ControlState, chunks: Iterable[bytes]) -> dict[str, bytes]:
+def row_digests(state: ControlState, chunks: Iterable[bytes]) -> dict[str, bytes]:
     """:param chunks: names (digests) of the configuration's chunks, in their order"""
-    found = {key: digest(value) for key, value in small_rows(state).items()}
-    return found | {chunk_key(number): name for number, name in enumerate(chunks)}
+    digests = {key: digest(value) for key, value in field_rows(state).items()}
+    return digests | {chunk_key(number): name for number, name in enumerate(chunks)}
 
 
-def state_of(rows: Mapping[str, bytes]) -> ControlState:
+def state_from_rows(rows: Mapping[str, bytes]) -> ControlState:
     """The state of whole rows, without its stamp.
 
     :raises DecodeError: rows that are none
@@ -74,13 +79,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tree:
+class DigestTree:
     """:param levels: the root; its nodes; their leaves"""
 
     levels: tuple[tuple[bytes, ...], ...]
 
     @staticmethod
-    def over(digests: Mapping[str, bytes]) -> Tree:
+    def of_rows(digests: Mapping[str, bytes]) -> DigestTree:
         """:param digests: of the rows, by key"""
         leaves: list[list[str]] = [[] for _ in range(LEAVES)]
         for key in sorted(digests):
@@ -88,25 +93,25 @@
         level = tuple(digest(b"".join(k.encode() + b"\0" + digests[k] for k in keys)) for keys in leaves)
         levels = [level]
         while len(level) > 1:
-            level = tuple(digest(b"".join(level[at : at + FAN])) for at in range(0, len(level), FAN))
+            level = tuple(digest(b"".join(level[at : at + FAN_OUT])) for at in range(0, len(level), FAN_OUT))
             levels.insert(0, level)
-        return Tree(tuple(levels))
+        return DigestTree(tuple(levels))
 
     @property
     def root(self) -> bytes:
         return self.levels[0][0]
 
-    def told(self, level: int, ranges: Sequence[int]) -> dict[int, bytes]:
+    def range_digests(self, level: int, ranges: Sequence[int]) -> dict[int, bytes]:
         """Digests at a level, of the ranges that lie below those of the level above."""
         if not 0 <= level <= DEPTH:
             return {}
         if level == 0:
             return {0: self.root}
-        below = [FAN * above + number for above in ranges for number in range(FAN)]
-        return {number: self.levels[level][number] for number in below if number < len(self.levels[level])}
+        children = [FAN_OUT * parent + number for parent in ranges for number in range(FAN_OUT)]
+        return {number: self.levels[level][number] for number in children if number < len(self.levels[level])}
 
-    def differing(self, level: int, told: Mapping[int, bytes]) -> list[int]:
+    def differing_ranges(self, level: int, other: Mapping[int, bytes]) -> list[int]:
         own = self.levels[level]
         return [
-            number for number, value in sorted(told.items()) if number < len(own) and own[number] != value
+            number for number, value in sorted(other.items()) if number < len(own) and own[number] != value
         ]
--- a/vetchusher/control/durable_state.py
+++ b/vetchusher/control/durable_state.py
@@ -6,7 +6,7 @@
 from vetchusher.events import Event, LogEvent
 
 from .messages import Output, Persist, PersistentState, Send, Timing
-from .state import START, Point, at, place
+from .state import ZERO_STAMP, StampTuple, replica_set_id, state_stamp
 
 
 class DurableState:
@@ -17,90 +17,105 @@
     no memory.
     """
 
-    def __init__(self, timing: Timing, kept: PersistentState, on_disk: bool) -> None:
+    def __init__(self, timing: Timing, contents: PersistentState, on_disk: bool) -> None:
         self.timing = timing
-        self.promised = kept.promised
-        self.owner = kept.owner
-        self.record = kept.record
-        self.state = kept.state
-        self.copy = kept.copy
-        self.number = 0 if on_disk else 1  # of the newest contents
+        self.voted_epoch = contents.voted_epoch
+        self.voted_for = contents.voted_for
+        self.replica_set = contents.replica_set
+        self.state = contents.state
+        self.has_copy = contents.has_copy
+        self.revision = 0 if on_disk else 1  # of the newest contents
         # Of the contents that first had them; the promise and the record go together.
-        self.office_number = self.state_number = self.number
-        self.synced = 0  # number of the contents on disk
-        self.synced_promise = kept.promised if on_disk else 0
-        self.synced_record: Point = place(kept.record) if on_disk else START
-        self.synced_stamp: Point = at(kept.state) if on_disk else START
-        self.synced_copy = kept.copy and on_disk
-        self.saving: tuple[int, PersistentState] | None = None
+        self.vote_revision = self.state_revision = self.revision
+        self.synced_revision = 0  # number of the contents on disk
+        self.synced_voted_epoch = contents.voted_epoch if on_disk else 0
+        self.synced_replica_set: StampTuple = replica_set_id(contents.replica_set) if on_disk else ZERO_STAMP
+        self.synced_stamp: StampTuple = state_stamp(contents.state) if on_disk else ZERO_STAMP
+        self.synced_has_copy = contents.has_copy and on_disk
+        self.persisting: tuple[int, PersistentState] | None = None
         self.retry_at = 0
-        self.waiting: dict[tuple[str, str], tuple[int, ControlMessage]] = {}
+        self.pending_messages: dict[tuple[str, str], tuple[int, ControlMessage]] = {}
 
-    def promise(self, epoch: int, owner: str) -> None:
+    def record_vote(self, epoch: int, candidate: str) -> None:
         """:param owner: the candidate of that epoch, or its primary: a majority took another than this one"""
-        if (epoch, owner) != (self.promised, self.owner) and epoch >= self.promised:
-            self.promised, self.owner = epoch, owner
-            self.number += 1
-            self.office_number = self.number
-
-    def accept(self, record: ReplicaSet) -> None:
-        if place(record) > place(self.record):
-            self.record = record
-            self.number += 1
-            self.office_number = self.number
-
-    def take(self, kept: PersistentState) -> None:
+        if (epoch, candidate) != (self.voted_epoch, self.voted_for) and epoch >= self.voted_epoch:
+            self.voted_epoch, self.voted_for = epoch, candidate
+            self.revision += 1
+            self.vote_revision = self.revision
+
+    def accept_replica_set(self, replica_set: ReplicaSet) -> None:
+        if replica_set_id(replica_set) > replica_set_id(self.replica_set):
+            self.replica_set = replica_set
+            self.revision += 1
+            self.vote_revision = self.revision
+
+    def restore(self, contents: PersistentState) -> None:
         """All that a machine recalled which had forgotten."""
-        self.promised, self.owner, self.record = kept.promised, kept.owner, kept.record
-        self.state, self.copy = kept.state, kept.copy
-        self.number += 1
-        self.office_number = self.state_number = self.number
-
-    def hold(self, state: ControlState) -> None:
-        self.state, self.copy = state, True
-        self.number += 1
-        self.state_number = self.number
-
-    def drop(self) -> None:
-        self.state, self.copy = ControlState(), False
-        self.number += 1
-        self.state_number = self.number
-
-    def mend(self, state: ControlState | None) -> None:
+        self.voted_epoch, self.voted_for, self.replica_set = (
+            contents.voted_epoch,
+            contents.voted_for,
+            contents.replica_set,
+        )
+        self.state, self.has_copy = contents.state, contents.has_copy
+        self.revision += 1
+        self.vote_revision = self.state_revision = self.revision
+
+    def store_copy(self, state: ControlState) -> None:
+        self.state, self.has_copy = state, True
+        self.revision += 1
+        self.state_revision = self.revision
+
+    def drop_copy(self) -> None:
+        self.state, self.has_copy = ControlState(), False
+        self.revision += 1
+        self.state_revision = self.revision
+
+    def repair_copy(self, state: ControlState | None) -> None:
         """Danger: what has been written under a later stamp meanwhile must stay.
 
         :param state: None: what lies on the disk is not what is held
         """
         if state is None:
-            self.number += 1
-            self.office_number = self.state_number = self.number
+            self.revision += 1
+            self.vote_revision = self.state_revision = self.revision
             return
-        if self.copy and at(state) == at(self.state):
-            self.hold(state)
+        if self.has_copy and state_stamp(state) == state_stamp(self.state):
+            self.store_copy(state)
 
-    def tell(self, to: str, message: ControlMessage, number: int) -> list[Output]:
+    def send_when_synced(self, to: str, message: ControlMessage, revision: int) -> list[Output]:
         """At once if the contents of that number are on disk, else when they are."""
-        if number <= self.synced:
+        if revision <= self.synced_revision:
             return [Send(to, message)]
-        self.waiting[to, str(message.WhichOneof("kind"))] = (number, message)
+        self.pending_messages[to, str(message.WhichOneof("kind"))] = (revision, message)
         return []
 
-    def work(self, now: int) -> list[Output]:
+    def persist_changes(self, now: int) -> list[Output]:
         """What is to be saved, if anything."""
-        if self.saving is not None or self.number == self.synced or now < self.retry_at:
+        if self.persisting is not None or self.revision == self.synced_revision or now < self.retry_at:
             return []
-        kept = PersistentState(self.promised, self.state, self.owner, self.record, self.copy)
-        self.saving = (self.number, kept)
-        return [Persist(*self.saving)]
-
-    def saved(self, now: int, token: int, ok: bool) -> list[Output]:
-        if self.saving is None or self.saving[0] != token:
+        contents = PersistentState(
+            self.voted_epoch, self.state, self.voted_for, self.replica_set, self.has_copy
+        )
+        self.persisting = (self.revision, contents)
+        return [Persist(*self.persisting)]
+
+    def on_persisted(self, now: int, token: int, synced: bool) -> list[Output]:
+        if self.persisting is None or self.persisting[0] != token:
             return []
-        (number, kept), self.saving = self.saving, None
-        if not ok:
-            self.retry_at = now + self.timing.retry_us
-            return [LogEvent(Event.STORE_FAILED, {"promised": kept.promised, "stamp": at(kept.state)})]
-        self.synced, self.synced_promise, self.synced_record = number, kept.promised, place(kept.record)
-        self.synced_stamp, self.synced_copy = at(kept.state), kept.copy
-        ready = [key for key, (needed, _) in self.waiting.items() if needed <= number]
-        return [Send(key[0], self.waiting.pop(key)[1]) for key in ready]
+        (revision, contents), self.persisting = self.persisting, None
+        if not synced:
+            self.retry_at = now + self.timing.persist_retry_us
+            return [
+                LogEvent(
+                    Event.STORE_FAILED,
+                    {"promised": contents.voted_epoch, "stamp": state_stamp(contents.state)},
+                )
+            ]
+        self.synced_revision, self.synced_voted_epoch, self.synced_replica_set = (
+            revision,
+            contents.voted_epoch,
+            replica_set_id(contents.replica_set),
+        )
+        self.synced_stamp, self.synced_has_copy = state_stamp(contents.state), contents.has_copy
+        ready = [key for key, (needed, _) in self.pending_messages.items() if needed <= revision]
+        return [Send(key[0], self.pending_messages.pop(key)[1]) for key in ready]
--- a/vetchusher/control/encoding.py
+++ b/vetchusher/control/encoding.py
@@ -1,7 +1,8 @@
-"""What a machine keeps, as small named rows and the configuration's body.
+"""The rows of a stored or exported state: one small row a field, and the configuration's body apart.
 
-Each field of `PersistentState` is a row of its name; the configuration goes apart, in chunks.  A new
-field of `PersistentState` with a default needs nothing here: folders without its row load with the default.
+Each field of `PersistentState` is one row.  Only `STORED_NAMES` knows under which name: files and exports
+outlive the names of the code.  A new field with a default needs nothing here: a folder without its row loads
+with the default.
 """
 
 from __future__ import annotations
@@ -10,43 +11,76 @@
 import types
 import typing
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from blake3 import blake3
 from google.protobuf.message import Message
 
 from .messages import PersistentState
-from .state import changed
+from .state import copy_state
 
 STATE = "state"
-MANIFEST = "manifest"  # names of the configuration's chunks, in their order
-SEAL = "seal"  # over all other rows: one of another save shows
+MANIFEST = "manifest"  # row with the digests of the configuration's chunks, in their order
+SEAL = "seal"  # row with a checksum over all other rows: it shows rows of two different saves
+CHECKSUM_BYTES = 16
 
+# Field of `PersistentState` -> name of its row.  These names are a file format: they never change.
+STORED_NAMES = {
+    "voted_epoch": "promised",
+    "state": STATE,
+    "voted_for": "owner",
+    "replica_set": "record",
+    "has_copy": "copy",
+}
 
-def cells_of(kept: PersistentState) -> tuple[dict[str, bytes], bytes]:
-    """Rows by name, and the body of the configuration."""
+
+class EncodedState(NamedTuple):
+    """A state as rows by name, and the bytes of its configuration."""
+
+    rows: dict[str, bytes]
+    body: bytes
+
+
+def encode_rows(contents: PersistentState) -> EncodedState:
+    """Encode a state as rows; the state's own row leaves the configuration out."""
     rows = {}
-    for field in dataclasses.fields(kept):
-        value = getattr(kept, field.name)
+    for field in dataclasses.fields(contents):
+        value = getattr(contents, field.name)
         if value is not None and field.name != STATE:
-            rows[field.name] = raw_of(value)
-    head, body = changed(kept.state), kept.state.configuration
+            rows[stored_name(field.name)] = encode_value(value)
+    head, body = copy_state(contents.state), contents.state.configuration
     head.configuration, head.configuration_left_out = b"", True
     rows[STATE] = head.SerializeToString(deterministic=True)
-    return rows, body
+    return EncodedState(rows, body)
 
 
-def kept_of(rows: Mapping[str, bytes], body: bytes) -> PersistentState:
-    """:raises ValueError, DecodeError, KeyError, TypeError: rows that no `cells_of` made"""
+def decode_rows(rows: Mapping[str, bytes], body: bytes) -> PersistentState:
+    """Decode what `encode_rows` made; rows of unknown names are ignored.
+
+    :raises ValueError, DecodeError, KeyError, TypeError: the rows were not made by `encode_rows`
+    """
     hints = typing.get_type_hints(PersistentState)
-    names = {field.name for field in dataclasses.fields(PersistentState)}
-    found = {name: value_of(hints[name], raw) for name, raw in rows.items() if name in names}
-    state = changed(found[STATE])
+    names = [field.name for field in dataclasses.fields(PersistentState)]
+    values = {
+        name: decode_value(hints[name], rows[stored_name(name)])
+        for name in names
+        if stored_name(name) in rows
+    }
+    state = copy_state(values[STATE])
     state.configuration, state.configuration_left_out = body, False
-    return PersistentState(**{**found, STATE: state})
+    return PersistentState(**{**values, STATE: state})
+
+
+def stored_name(field: str) -> str:
+    """Return the name of the row that holds a field of `PersistentState`."""
+    return STORED_NAMES.get(field, field)
+
 
+def encode_value(value: Any) -> bytes:
+    """Encode one field's value.
 
-def raw_of(value: Any) -> bytes:
+    :raises TypeError: there is no encoding for a value of this type
+    """
     match value:
         case Message():
             return bytes(value.SerializeToString(deterministic=True))
@@ -59,23 +93,25 @@
     raise TypeError(f"no row is made of {type(value).__name__}")
 
 
-def value_of(hint: Any, raw: bytes) -> Any:
-    """:param hint: the field's type; of one that may be None its other half counts"""
+def decode_value(hint: Any, raw: bytes) -> Any:
+    """Decode one field's value by the field's type; of an optional one the other half counts."""
     if isinstance(hint, types.UnionType):
         hint = next(part for part in typing.get_args(hint) if part is not types.NoneType)
     if hint is bytes:
         return raw
     if hint is str:
         return raw.decode()
-    return bool(int(raw)) if hint is bool else int(raw) if hint is int else hint.FromString(raw)
+    if hint is bool:
+        return bool(int(raw))
+    return int(raw) if hint is int else hint.FromString(raw)
 
 
-def check_of(name: str, value: bytes) -> bytes:
-    """What stands beside a row so that a torn or foreign one shows; 16 bytes."""
-    return blake3(name.encode() + b"\0" + value).digest(16)
+def row_checksum(name: str, value: bytes) -> bytes:
+    """Return the checksum that is stored beside a row; it covers the name, so a foreign value shows too."""
+    return blake3(name.encode() + b"\0" + value).digest(CHECKSUM_BYTES)
 
 
-def seal_of(checks: Mapping[str, bytes]) -> bytes:
-    """:param checks: of all rows but the seal"""
-    told = b"".join(name.encode() + b"\0" + check for name, check in sorted(checks.items()))
-    return blake3(told).digest(16)
+def seal_checksum(checksums: Mapping[str, bytes]) -> bytes:
+    """Return the value of the seal row from the checksums of all other rows."""
+    rows = b"".join(name.encode() + b"\0" + checksum for name, checksum in sorted(checksums.items()))
+    return blake3(rows).digest(CHECKSUM_BYTES)
--- a/vetchusher/control/formats.py
+++ b/vetchusher/control/formats.py
@@ -9,48 +9,48 @@
 
 from vetchusher.distribution.wire_pb2 import ControlState, VoterState
 
-from .chunks import name_of, split
-from .database_file import CHUNK, FORMAT, format_of, settle
-from .encoding import MANIFEST, SEAL, check_of, raw_of, seal_of
+from .chunks import chunk_digest, split_chunks
+from .database_file import CREATE_CHUNK_TABLE, FORMAT, run_pragmas, stored_format
+from .encoding import MANIFEST, SEAL, encode_value, row_checksum, seal_checksum
 
 
-def migrated(link: sqlite3.Connection) -> bool:
+def migrate(connection: sqlite3.Connection) -> bool:
     """False: what lies there cannot be read whole, and stays as it is.
 
     :raises sqlite3.Error: the disk refuses; it holds what it held
     """
-    if format_of(link) < 2:
+    if stored_format(connection) < 2:
         try:
-            link.execute("BEGIN IMMEDIATE")
-            if not to_two(link):
-                link.execute("ROLLBACK")
+            connection.execute("BEGIN IMMEDIATE")
+            if not migrate_to_format_2(connection):
+                connection.execute("ROLLBACK")
                 return False
-            settle(link, ["user_version=2"])
-            link.execute("COMMIT")
+            run_pragmas(connection, ["user_version=2"])
+            connection.execute("COMMIT")
         except sqlite3.Error:
-            if link.in_transaction:
+            if connection.in_transaction:
                 with contextlib.suppress(sqlite3.Error):
-                    link.execute("ROLLBACK")
+                    connection.execute("ROLLBACK")
             raise
-    assert format_of(link) == FORMAT
-    ((vacuums,),) = link.execute("PRAGMA auto_vacuum").fetchall()
+    assert stored_format(connection) == FORMAT
+    ((vacuums,),) = connection.execute("PRAGMA auto_vacuum").fetchall()
     if not vacuums:
         # A file that can give pages back; and its head tells the new format, to whoever reads no log.
         with contextlib.suppress(sqlite3.OperationalError):
-            settle(link, ["temp_store=MEMORY", "auto_vacuum=INCREMENTAL"])
-            link.execute("VACUUM")
-        settle(link, ["wal_checkpoint(TRUNCATE)"])
+            run_pragmas(connection, ["temp_store=MEMORY", "auto_vacuum=INCREMENTAL"])
+            connection.execute("VACUUM")
+        run_pragmas(connection, ["wal_checkpoint(TRUNCATE)"])
     return True
 
 
-def to_two(link: sqlite3.Connection) -> bool:
+def migrate_to_format_2(connection: sqlite3.Connection) -> bool:
     """Of the rows `promised`, `state`, `configuration`, and `office` where there were records."""
     rows = {}
-    for name, value, told in link.execute("SELECT name, value, digest FROM kept").fetchall():
-        if not isinstance(value, bytes) or check_of(name, value) != told:
+    for name, value, checksum in connection.execute("SELECT name, value, digest FROM kept").fetchall():
+        if not isinstance(value, bytes) or row_checksum(name, value) != checksum:
             return False
         rows[name] = value
-    link.execute(CHUNK)
+    connection.execute(CREATE_CHUNK_TABLE)
     if not rows:
         return True
     try:
@@ -59,19 +59,21 @@
         ControlState.FromString(rows["state"])
         if "office" in rows:
             reconfiguration = VoterState.FromString(rows.pop("office"))
-            told = {
+            checksum = {
                 "owner": reconfiguration.owner,
                 "record": reconfiguration.record,
                 "copy": reconfiguration.copy,
             }
-            rows |= {name: raw_of(value) for name, value in told.items()}
+            rows |= {name: encode_value(value) for name, value in checksum.items()}
     except (DecodeError, ValueError):
         return False
-    pieces = split(rows.pop("configuration"))
-    rows[MANIFEST] = b"".join(map(name_of, pieces))
-    rows[SEAL] = seal_of({name: check_of(name, value) for name, value in rows.items()})
-    link.executemany("INSERT OR IGNORE INTO chunk VALUES (?, ?)", [(name_of(p), p) for p in pieces])
-    link.execute("DELETE FROM kept")
-    lines = [(name, value, check_of(name, value)) for name, value in rows.items()]
-    link.executemany("INSERT INTO kept VALUES (?, ?, ?)", lines)
+    chunks = split_chunks(rows.pop("configuration"))
+    rows[MANIFEST] = b"".join(map(chunk_digest, chunks))
+    rows[SEAL] = seal_checksum({name: row_checksum(name, value) for name, value in rows.items()})
+    connection.executemany(
+        "INSERT OR IGNORE INTO chunk VALUES (?, ?)", [(chunk_digest(p), p) for p in chunks]
+    )
+    connection.execute("DELETE FROM kept")
+    records = [(name, value, row_checksum(name, value)) for name, value in rows.items()]
+    connection.executemany("INSERT INTO kept VALUES (?, ?, ?)", records)
     return True
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -38,35 +38,35 @@
     :param replace_us: a member unheard for so long gives its seat to a learner that is ready
     """
 
-    renew_us: int = 250_000
-    lease_us: int = 1_500_000
-    held_us: int = 1_350_000
-    other_zone_us: int = 2_000_000
-    late_us: int = 700_000
-    rest_us: int = 2_000_000
-    yield_us: int = 1_200_000
-    drop_copy_us: int = 5_000_000
-    heard_us: int = 1_000_000
-    answer_us: int = 300_000
-    stopped_us: int = 500_000
-    unheard_us: int = 700_000
-    regain_us: int = 300_000
-    candidate_backoff_us: int = 400_000
-    pause_us: int = 200_000
-    leaving_pause_us: int = 600_000
-    probe_us: int = 300_000
-    ask_us: int = 1_000_000
-    order_us: int = 3_000_000
-    resend_us: int = 500_000
-    resend_most_us: int = 4_000_000
-    retry_us: int = 500_000
-    recall_us: int = 300_000
-    anew_us: int = 10_000_000
-    join_us: int = 500_000
-    learner_us: int = 5_000_000
-    drop_us: int = 15_000_000
-    replace_us: int = 1_000_000
-    settle_us: int = 1_500_000
+    renewal_interval_us: int = 250_000
+    lease_duration_us: int = 1_500_000
+    answer_valid_us: int = 1_350_000
+    other_zone_timeout_us: int = 2_000_000
+    write_timeout_us: int = 700_000
+    ejection_us: int = 2_000_000
+    own_disk_timeout_us: int = 1_200_000
+    copy_retention_us: int = 5_000_000
+    contact_timeout_us: int = 1_000_000
+    first_answer_us: int = 300_000
+    pause_threshold_us: int = 500_000
+    majority_timeout_us: int = 700_000
+    lease_regain_us: int = 300_000
+    election_back_off_us: int = 400_000
+    election_jitter_us: int = 200_000
+    leaving_election_delay_us: int = 600_000
+    pre_vote_timeout_us: int = 300_000
+    vote_timeout_us: int = 1_000_000
+    order_timeout_us: int = 3_000_000
+    resend_delay_us: int = 500_000
+    max_resend_delay_us: int = 4_000_000
+    persist_retry_us: int = 500_000
+    recovery_interval_us: int = 300_000
+    bootstrap_delay_us: int = 10_000_000
+    join_interval_us: int = 500_000
+    learner_timeout_us: int = 5_000_000
+    removal_timeout_us: int = 15_000_000
+    replacement_timeout_us: int = 1_000_000
+    learner_discovery_us: int = 1_500_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,11 +80,11 @@
     :param copy: `state` is a whole copy
     """
 
-    promised: int
+    voted_epoch: int
     state: ControlState
-    owner: str = ""
-    record: ReplicaSet = field(default_factory=ReplicaSet)
-    copy: bool = True
+    voted_for: str = ""
+    replica_set: ReplicaSet = field(default_factory=ReplicaSet)
+    has_copy: bool = True
 
 
 # -- inputs ----------------------------------------------------------------------------------------
@@ -107,11 +107,11 @@
     """The outcome of a `Persist`; `ok`: it is synced."""
 
     token: int
-    ok: bool
+    synced: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Replace:
+class ReplaceOrder:
     """:param body: a configuration that was checked whole, as the operator sent it"""
 
     version: int
@@ -119,32 +119,32 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retrieve:
+class RetrieveOrder:
     pass
 
 
 @dataclass(slots=True, frozen=True)
-class SetEvacuation:
+class EvacuationOrder:
     """:param after: number of the zone's last order when this one was passed on; None: it never was"""
 
     zone: str
     on: bool
-    after: int | None = None
+    previous_order: int | None = None
 
 
-Order = Replace | Retrieve | SetEvacuation
+Order = ReplaceOrder | RetrieveOrder | EvacuationOrder
 
 
 @dataclass(slots=True, frozen=True)
 class Submitted:
     """:param number: the caller's; it comes back in `Completed`"""
 
-    number: int
+    order_id: int
     order: Order
 
 
 @dataclass(slots=True, frozen=True)
-class Mended:
+class CopyRepaired:
     """:param state: the copy that belongs to the stamp that this machine holds, which its own was not; None:
     all that is held, as it is, is to be written again"""
 
@@ -152,11 +152,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retire:
+class ShutDown:
     """The process is about to end in order: if it leads, another is to lead at once."""
 
 
-Input = Tick | Received | Persisted | Submitted | Mended | Retire
+Input = Tick | Received | Persisted | Submitted | CopyRepaired | ShutDown
 
 
 # -- outputs ---------------------------------------------------------------------------------------
@@ -173,7 +173,7 @@
     """To be synced, in order, and answered by `Persisted`.  There is never more than one unanswered."""
 
     token: int
-    kept: PersistentState
+    contents: PersistentState
 
 
 @dataclass(slots=True, frozen=True)
@@ -181,7 +181,7 @@
     """:param outcome: for `Retrieve` the configuration's bytes as sent; else nothing.  NOT_SETTLED: it may
     come to be in force or not"""
 
-    number: int
+    order_id: int
     outcome: Result[bytes, Fault]
 
 
--- a/vetchusher/control/orders.py
+++ b/vetchusher/control/orders.py
@@ -18,8 +18,8 @@
 from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault
 
-from .messages import Completed, Order, Output, Replace
-from .state import conflict, ordered
+from .messages import Completed, Order, Output, ReplaceOrder
+from .state import apply_order, version_conflict
 
 DIGEST_BYTES = 16
 LOGGED_BYTES = 4  # of a digest, in the log
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Numbers:
+class KnownBodies:
     """Which body has each number, as far as one batch knows.
 
     :param floor: what was committed as the batch began; of lower numbers nothing is known
@@ -38,8 +38,8 @@
         than orders may wait at once, and one
     """
 
-    floor: int
-    bodies: Mapping[int, bytes]
+    committed_version: int
+    digests: Mapping[int, bytes]
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,60 +49,69 @@
     """
 
     outcome: Result[bytes, Fault]
-    relies_on_write: bool
+    needs_commit: bool
     event: LogEvent | None = None
 
-    def answer(self, number: int) -> list[Output]:
+    def outputs(self, order_id: int) -> list[Output]:
         """:param number: the caller's"""
-        told: list[Output] = [Completed(number, self.outcome)]
-        return told if self.event is None else [self.event, *told]
+        outputs: list[Output] = [Completed(order_id, self.outcome)]
+        return outputs if self.event is None else [self.event, *outputs]
 
 
 class OrderBatch:
     """The orders of one write, decided one after the other.  It owns the state that they lead to."""
 
-    def __init__(self, held: ControlState, before: Numbers | None) -> None:
+    def __init__(self, committed: ControlState, previous: KnownBodies | None) -> None:
         """:param held: what is committed
         :param before: what the last batch of this epoch knew; its write is committed.  Orders that came while
             that was under way are decided here
         """
-        self.held = self.state = held
-        self.before = before or Numbers(held.version, {})
-        self.bodies: dict[int, bytes] = {}
+        self.committed = self.state = committed
+        self.previous = previous or KnownBodies(committed.version, {})
+        self.digests: dict[int, bytes] = {}
 
     def decide(self, order: Order) -> Decision:
-        if isinstance(order, Replace):
-            return self.replace(order)
+        if isinstance(order, ReplaceOrder):
+            return self.decide_replace(order)
         # Danger: what is done already may be done only by the write, which is not committed yet.
-        relies_on_write = (
-            self.state is not self.held or ordered(self.held, order).value_or(None) is not self.held
+        needs_commit = (
+            self.state is not self.committed
+            or apply_order(self.committed, order).value_or(None) is not self.committed
         )
-        return Decision(self.carry_out(order), relies_on_write)
+        return Decision(self.apply(order), needs_commit)
 
-    def replace(self, order: Replace) -> Decision:
-        if self.held.version not in self.bodies:
-            self.bodies[self.held.version] = digest(self.held.configuration)
-        number, sent = order.version, digest(order.body)
+    def decide_replace(self, order: ReplaceOrder) -> Decision:
+        if self.committed.version not in self.digests:
+            self.digests[self.committed.version] = digest(self.committed.configuration)
+        version, sent_digest = order.version, digest(order.body)
         # Danger: what this batch gives a number to is not committed yet, and another body may yet have it.
-        relies_on_write = number > self.held.version
-        taken = self.before.bodies.get(number) or self.bodies.get(number) or sent
-        if taken != sent:
-            return Decision(Failure(conflict(number)), relies_on_write, conflict_event(number, taken, sent))
+        needs_commit = version > self.committed.version
+        known_digest = self.previous.digests.get(version) or self.digests.get(version) or sent_digest
+        if known_digest != sent_digest:
+            return Decision(
+                Failure(version_conflict(version)),
+                needs_commit,
+                conflict_event(version, known_digest, sent_digest),
+            )
         # Danger: of a number below, another body may have been acknowledged, which may not be refused now.
-        if number > self.before.floor:
-            self.bodies[number] = sent
-        return Decision(self.carry_out(order), relies_on_write)
+        if version > self.previous.committed_version:
+            self.digests[version] = sent_digest
+        return Decision(self.apply(order), needs_commit)
 
-    def carry_out(self, order: Order) -> Result[bytes, Fault]:
-        after = ordered(self.state, order)
+    def apply(self, order: Order) -> Result[bytes, Fault]:
+        after = apply_order(self.state, order)
         self.state = after.value_or(self.state)
         return after.map(lambda _: b"")
 
-    def numbers(self) -> Numbers:
+    def known_bodies(self) -> KnownBodies:
         """What the batch after this one has to know; a batch without configurations changes none of it."""
-        return Numbers(self.held.version, self.bodies) if self.bodies else self.before
+        return KnownBodies(self.committed.version, self.digests) if self.digests else self.previous
 
 
-def conflict_event(number: int, taken: bytes, refused: bytes) -> LogEvent:
-    told = {"version": number, "taken": taken[:LOGGED_BYTES].hex(), "refused": refused[:LOGGED_BYTES].hex()}
-    return LogEvent(Event.ORDERS_CONFLICT, told)
+def conflict_event(version: int, known_digest: bytes, refused_digest: bytes) -> LogEvent:
+    facts = {
+        "version": version,
+        "taken": known_digest[:LOGGED_BYTES].hex(),
+        "refused": refused_digest[:LOGGED_BYTES].hex(),
+    }
+    return LogEvent(Event.ORDERS_CONFLICT, facts)
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -27,23 +27,31 @@
 from vetchusher.events import Event, LogEvent
 from vetchusher.kinds import Fault, Kind
 
-from .deltas import BodyHistory
+from .deltas import ConfigurationHistory
 from .durable_state import DurableState
-from .messages import Committed, Completed, Order, Output, Retrieve, Send, Submitted, Timing
-from .orders import Decision, Numbers, OrderBatch
-from .progress import Peers, ProgressTracker, ReplicaProgress
+from .messages import Committed, Completed, Order, Output, RetrieveOrder, Send, Submitted, Timing
+from .orders import Decision, KnownBodies, OrderBatch
+from .progress import PeerTable, ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import START, at, changed, has_quorum, stamp, voters, without_configuration
+from .state import (
+    ZERO_STAMP,
+    copy_state,
+    has_quorum,
+    stamp_message,
+    state_stamp,
+    voters,
+    without_configuration,
+)
 
-MOST_ORDERS = 256  # that wait at once
-MOST_LEARNERS = 8
+MAX_PENDING_ORDERS = 256  # that wait at once
+MAX_LEARNERS = 8
 
 
 @dataclass(slots=True)
-class Waiting:
-    number: int
+class PendingOrder:
+    order_id: int
     order: Order
-    until: int
+    expires_at: int
 
 
 class Primary:
@@ -53,253 +61,286 @@
     def __init__(
         self,
         timing: Timing,
-        memory: DurableState,
-        peers: Peers,
+        durable: DurableState,
+        peers: PeerTable,
         epoch: int,
-        found: ReplicaSet,
+        found_set: ReplicaSet,
         losses: int,
         first_round: int,
         now: int,
     ) -> None:
         """:param found: the newest record that the promises told"""
         self.timing = timing
-        self.memory = memory
+        self.durable = durable
         self.peers = peers
         self.epoch = epoch
-        self.began = now
-        self.renewed_at = now - timing.renew_us
+        self.began_at = now
+        self.renewed_at = now - timing.renewal_interval_us
         self.progress = ProgressTracker(timing, peers, first_round, now)
-        self.reconfiguration = Reconfiguration(memory, self.progress, epoch, found, losses, now)
-        self.bodies = BodyHistory()
+        self.reconfiguration = Reconfiguration(durable, self.progress, epoch, found_set, losses, now)
+        self.configuration_history = ConfigurationHistory()
         self.committed: ControlState | None = None
-        self.write_began: int | None = None
-        self.wrote_at = now
-        self.writing: list[tuple[Waiting, Decision]] = []
-        self.numbers: Numbers | None = None  # of the last batch with a configuration
-        self.waiting: list[Waiting] = []
-        self.reading: list[Waiting] = []
-        self.led = False  # the lease was held at least once
-        self.lapsed_at: int | None = None
-        self.probing = False  # the last renewal was a question only
+        self.write_began_at: int | None = None
+        self.last_write_at = now
+        self.orders_in_write: list[tuple[PendingOrder, Decision]] = []
+        self.known_bodies: KnownBodies | None = None  # of the last batch with a configuration
+        self.pending_changes: list[PendingOrder] = []
+        self.pending_reads: list[PendingOrder] = []
+        self.lease_was_held = False  # the lease was held at least once
+        self.lease_lapsed_at: int | None = None
+        self.last_renewal_was_probe = False  # the last renewal was a question only
 
     # -- the lease -----------------------------------------------------------------------------
 
-    def leads(self, now: int) -> bool:
-        return now < self.reconfiguration.lease_until(now)
+    def has_valid_lease(self, now: int) -> bool:
+        return now < self.reconfiguration.lease_expires_at(now)
 
-    def holds(self, now: int) -> bool:
-        return self.committed is not None and self.leads(now)
+    def is_leader(self, now: int) -> bool:
+        return self.committed is not None and self.has_valid_lease(now)
 
-    def gone(self, now: int) -> bool:
+    def has_lost_lease(self, now: int) -> bool:
         """The lease ran out, and asking on did not bring it back: hearing without being heard ends it
         here."""
-        if self.leads(now):
-            self.lapsed_at, self.led = None, True
+        if self.has_valid_lease(now):
+            self.lease_lapsed_at, self.lease_was_held = None, True
             return False
-        if self.lapsed_at is None:
-            self.lapsed_at = now
+        if self.lease_lapsed_at is None:
+            self.lease_lapsed_at = now
         grace = (
-            self.timing.regain_us if self.led else self.timing.lease_us
+            self.timing.lease_regain_us if self.lease_was_held else self.timing.lease_duration_us
         )  # the first answers take their time
-        return now >= self.lapsed_at + grace
+        return now >= self.lease_lapsed_at + grace
 
-    def renewal_due(self, now: int) -> bool:
+    def is_renewal_due(self, now: int) -> bool:
         """At once when a majority is heard again."""
-        regained = self.probing and not self.unheard(now)
-        return regained or now >= self.renewed_at + self.timing.renew_us
+        regained = self.last_renewal_was_probe and not self.has_no_majority_contact(now)
+        return regained or now >= self.renewed_at + self.timing.renewal_interval_us
 
     def renew(self, now: int) -> list[Output]:
         self.renewed_at = now
-        self.probing = self.unheard(now)
-        if self.probing:
+        self.last_renewal_was_probe = self.has_no_majority_contact(now)
+        if self.last_renewal_was_probe:
             return self.probe()
         round_ = self.progress.next_round(now)
         renew = LeaseRenewal(
             epoch=self.epoch,
             round=round_,
-            committed=self.told(now),
-            record=self.reconfiguration.newest(),
-            changing=self.changing(now),
+            committed=self.committed_stamp(now),
+            record=self.reconfiguration.newest_of_epoch(),
+            changing=self.is_changing_voters(now),
         )
         message = ControlMessage(renew=renew)
-        readers = [*self.reconfiguration.everybody(), *self.progress.learners]
-        return [Send(ip, message) for ip in readers] + self.drop(now)
+        readers = [*self.reconfiguration.other_voters(), *self.progress.learners]
+        return [Send(ip, message) for ip in readers] + self.drop_unneeded_copies(now)
 
-    def changing(self, now: int) -> bool:
+    def is_changing_voters(self, now: int) -> bool:
         """Whether a voter that is leaving has to stay, as its seat is about to be taken."""
         reconfiguration = self.reconfiguration
-        if any(one.previous_members for one in reconfiguration.sets()):
+        if any(one.previous_members for one in reconfiguration.replica_sets()):
             return True
-        if self.committed is None or now < self.began + self.timing.settle_us:
+        if self.committed is None or now < self.began_at + self.timing.learner_discovery_us:
             return True
         leaving = self.peers.leaving
         return not leaving.isdisjoint(reconfiguration.members) and any(
-            ip not in leaving and self.progress.heard(now, ip) for ip in self.progress.learners
+            ip not in leaving and self.progress.is_reachable(now, ip) for ip in self.progress.learners
         )
 
-    def unheard(self, now: int) -> bool:
+    def has_no_majority_contact(self, now: int) -> bool:
         """No majority of the members has been heard lately: nothing it says can bring it a lease.
 
         Danger: one that is heard and hears nobody would keep the others from another primary.
         """
-        heard_at = self.peers.heard_at
-        since = now - self.timing.unheard_us
-        others = self.reconfiguration.everybody()
-        heard = {ip for ip in others if max(self.began, heard_at.get(ip, 0)) > since} | {self.peers.me}
-        return not all(has_quorum(one, heard) for one in self.reconfiguration.sets())
+        last_contact_at = self.peers.last_contact_at
+        since = now - self.timing.majority_timeout_us
+        others = self.reconfiguration.other_voters()
+        reachable = {ip for ip in others if max(self.began_at, last_contact_at.get(ip, 0)) > since} | {
+            self.peers.own_ip
+        }
+        return not all(has_quorum(one, reachable) for one in self.reconfiguration.replica_sets())
 
     def probe(self) -> list[Output]:
         """A question that anybody answers and that gives no lease."""
         message = ControlMessage(ask=VoteRequest(epoch=0))
-        return [Send(ip, message) for ip in self.reconfiguration.everybody()]
+        return [Send(ip, message) for ip in self.reconfiguration.other_voters()]
 
-    def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
-        if answer.epoch == self.epoch:
-            self.progress.renewed(sender, answer)
+    def on_renewal_reply(self, sender: str, reply: LeaseRenewalReply) -> None:
+        if reply.epoch == self.epoch:
+            self.progress.on_renewal_reply(sender, reply)
 
-    def told(self, now: int) -> Stamp | None:
+    def committed_stamp(self, now: int) -> Stamp | None:
         """What is committed; without the lease nothing is said to be in force."""
-        return stamp(at(self.committed)) if self.committed is not None and self.holds(now) else None
+        return (
+            stamp_message(state_stamp(self.committed))
+            if self.committed is not None and self.is_leader(now)
+            else None
+        )
 
     # -- writes --------------------------------------------------------------------------------
 
     def write(self, now: int, state: ControlState) -> list[Output]:
-        before = self.memory.state
-        state = changed(state, (self.epoch, state.stamp.seq + 1))
-        first_write = self.committed is None and self.write_began is None
+        before = self.durable.state
+        state = copy_state(state, (self.epoch, state.stamp.seq + 1))
+        first_write = self.committed is None and self.write_began_at is None
         if first_write or state.version != before.version:
-            since = at(before) if first_write else self.bodies.since
-            self.bodies.advance(at(state), state.configuration, before.configuration, since)
-        self.memory.hold(state)
-        self.write_began = self.wrote_at = now
-        return self.teach(now)
-
-    def taught(self, now: int) -> set[str]:
+            since = state_stamp(before) if first_write else self.configuration_history.current_since
+            self.configuration_history.advance(
+                state_stamp(state), state.configuration, before.configuration, since
+            )
+        self.durable.store_copy(state)
+        self.write_began_at = self.last_write_at = now
+        return self.replicate(now)
+
+    def replication_targets(self, now: int) -> set[str]:
         """Who gets every write: the copies, and those that are to become copies."""
         # A late one in another zone: it holds a copy again as soon as it has shown that it can.
         reconfiguration = self.reconfiguration
-        late = {ip for ip in reconfiguration.members if self.away(ip) and self.progress.rests(now, ip)}
-        coming = self.next_members(now)
-        newcomers = set(coming) - set(reconfiguration.members)
-        wanted = reconfiguration.wanted(now) | reconfiguration.wanted(now, coming)
-        return (reconfiguration.copies() | wanted | newcomers | late) - {self.peers.me}
-
-    def away(self, ip: str) -> bool:
+        late = {
+            ip
+            for ip in reconfiguration.members
+            if self.is_in_other_zone(ip) and self.progress.is_ejected(now, ip)
+        }
+        next_members = self.next_members(now)
+        newcomers = set(next_members) - set(reconfiguration.members)
+        wanted = reconfiguration.preferred_copies(now) | reconfiguration.preferred_copies(now, next_members)
+        return (reconfiguration.required_copies() | wanted | newcomers | late) - {self.peers.own_ip}
+
+    def is_in_other_zone(self, ip: str) -> bool:
         """Whether it lies in another zone."""
-        return self.peers.apart({ip, self.peers.me})
+        return self.peers.span_zones({ip, self.peers.own_ip})
 
-    def teach(self, now: int) -> list[Output]:
+    def replicate(self, now: int) -> list[Output]:
         out: list[Output] = []
-        newest = at(self.memory.state)
-        for ip in sorted(self.taught(now)):
-            backup = self.progress.member(ip)
-            if backup.copy >= newest or backup.amnesiac:
+        newest = state_stamp(self.durable.state)
+        for ip in sorted(self.replication_targets(now)):
+            progress = self.progress.of(ip)
+            if progress.copy_stamp >= newest or progress.amnesiac:
                 continue
-            if backup.wrote != newest or (
-                now >= backup.last_at + backup.pause and self.progress.heard(now, ip)
+            if progress.sent_stamp != newest or (
+                now >= progress.last_sent_at + progress.resend_delay_us
+                and self.progress.is_reachable(now, ip)
             ):
-                out += self.send(now, ip, backup)
+                out += self.send_write(now, ip, progress)
         return out
 
-    def send(self, now: int, ip: str, backup: ReplicaProgress) -> list[Output]:
-        state = self.memory.state
-        if backup.wrote == at(state):
-            backup.pause = min(2 * backup.pause, self.timing.resend_most_us)
+    def send_write(self, now: int, ip: str, progress: ReplicaProgress) -> list[Output]:
+        state = self.durable.state
+        if progress.sent_stamp == state_stamp(state):
+            progress.resend_delay_us = min(2 * progress.resend_delay_us, self.timing.max_resend_delay_us)
         else:
-            backup.wrote, backup.first_at, backup.pause = at(state), now, self.timing.resend_us
-        backup.last_at = now
-        delta = self.delta_for(backup)
-        if delta is not None or (backup.copy >= self.bodies.since and state.version):
+            progress.sent_stamp, progress.first_sent_at, progress.resend_delay_us = (
+                state_stamp(state),
+                now,
+                self.timing.resend_delay_us,
+            )
+        progress.last_sent_at = now
+        delta = self.delta_for(progress)
+        if delta is not None or (
+            progress.copy_stamp >= self.configuration_history.current_since and state.version
+        ):
             state = without_configuration(state)
-        backup.sent_bytes = delta.ByteSize() if delta is not None else len(state.configuration)
-        life = self.peers.lives.get(ip, 0)
-        write = Write(epoch=self.epoch, state=state, committed=self.told(now), life=life, delta=delta)
+        progress.sent_bytes = delta.ByteSize() if delta is not None else len(state.configuration)
+        incarnation = self.peers.incarnations.get(ip, 0)
+        write = Write(
+            epoch=self.epoch, state=state, committed=self.committed_stamp(now), life=incarnation, delta=delta
+        )
         return [Send(ip, ControlMessage(write=write))]
 
-    def delta_for(self, backup: ReplicaProgress) -> BodyDelta | None:
+    def delta_for(self, progress: ReplicaProgress) -> BodyDelta | None:
         """For one that holds the configuration before this one, as far as is known.
 
         Whoever takes a first write is expected to hold what this machine held.  A reader that lacks a chunk
         says so and gets the whole: the guess costs a round trip, nothing else.
         """
-        if backup.needs_whole or backup.copy >= self.bodies.since:
+        if progress.needs_full_body or progress.copy_stamp >= self.configuration_history.current_since:
             return None
-        guessed = self.committed is None and backup.copy == START and not backup.amnesiac
-        return self.bodies.delta() if guessed or backup.copy >= self.bodies.former_since > START else None
+        guessed = self.committed is None and progress.copy_stamp == ZERO_STAMP and not progress.amnesiac
+        return (
+            self.configuration_history.delta()
+            if guessed or progress.copy_stamp >= self.configuration_history.previous_since > ZERO_STAMP
+            else None
+        )
 
-    def written(self, now: int, sender: str, answer: WriteReply) -> list[Output]:
-        backup = self.progress.known(sender)
-        if backup is None or answer.epoch != self.epoch:
+    def on_write_reply(self, now: int, sender: str, reply: WriteReply) -> list[Output]:
+        progress = self.progress.find(sender)
+        if progress is None or reply.epoch != self.epoch:
             return []
-        if answer.need_whole:
-            backup.copy, backup.needs_whole = START, True
-            return self.send(now, sender, backup)
-        self.progress.written(sender, answer)
+        if reply.need_whole:
+            progress.copy_stamp, progress.needs_full_body = ZERO_STAMP, True
+            return self.send_write(now, sender, progress)
+        self.progress.on_write_reply(sender, reply)
         return []
 
-    def reborn(self, ip: str) -> None:
-        backup = self.progress.known(ip)
-        if backup is not None:
-            backup.reborn()
+    def on_peer_restarted(self, ip: str) -> None:
+        progress = self.progress.find(ip)
+        if progress is not None:
+            progress.reset_after_restart()
 
-    def mark_late(self, now: int) -> None:
+    def eject_late_copies(self, now: int) -> None:
         """Danger: one that stalls again and again must not hold up a write each time."""
-        newest = at(self.memory.state)
-        copies = self.reconfiguration.copies()
-        for ip in self.taught(now):
-            backup = self.progress.member(ip)
-            if backup.wrote != newest or backup.copy >= newest:
+        newest = state_stamp(self.durable.state)
+        copies = self.reconfiguration.required_copies()
+        for ip in self.replication_targets(now):
+            progress = self.progress.of(ip)
+            if progress.sent_stamp != newest or progress.copy_stamp >= newest:
                 continue
             # Danger: without the copy in another zone that zone's loss is more than is borne.
-            most = self.timing.other_zone_us if self.away(ip) else self.timing.late_us
+            timeout_us = (
+                self.timing.other_zone_timeout_us
+                if self.is_in_other_zone(ip)
+                else self.timing.write_timeout_us
+            )
             # What was sent takes its time on any link and disk.
-            if now >= backup.first_at + most + backup.sent_bytes:
-                backup.rested_until = now + self.timing.rest_us
+            if now >= progress.first_sent_at + timeout_us + progress.sent_bytes:
+                progress.ejected_until = now + self.timing.ejection_us
                 if ip not in copies:
-                    backup.wrote = START  # when it is chosen again it has its time again
+                    progress.sent_stamp = ZERO_STAMP  # when it is chosen again it has its time again
 
-    def heir(self, now: int) -> str:
+    def successor_for_late_disk(self, now: int) -> str:
         """Who should lead, as this machine's own disk is late with a write; empty: nobody."""
-        newest = at(self.memory.state)
-        patience = self.timing.yield_us + len(self.memory.state.configuration)  # it may be written whole
-        late = now >= self.wrote_at + patience
-        if self.memory.synced_stamp >= newest or not late:
+        newest = state_stamp(self.durable.state)
+        timeout_us = self.timing.own_disk_timeout_us + len(
+            self.durable.state.configuration
+        )  # it may be written whole
+        is_late = now >= self.last_write_at + timeout_us
+        if self.durable.synced_stamp >= newest or not is_late:
             return ""
-        return self.best_heir(now)
+        return self.successor(now)
 
-    def best_heir(self, now: int) -> str:
+    def successor(self, now: int) -> str:
         """Of the copies, the one with the newest state."""
-        others = [ip for ip in self.reconfiguration.record.copies if ip != self.peers.me]
-        known = [(self.progress.copy(now, ip), ip) for ip in others if self.progress.well(now, ip)]
-        found = max(known, default=(START, ""))
-        return found[1] if found[0] > START else ""
+        others = [ip for ip in self.reconfiguration.current.copies if ip != self.peers.own_ip]
+        candidates = [
+            (self.progress.copy_stamp(now, ip), ip) for ip in others if self.progress.is_eligible(now, ip)
+        ]
+        best = max(candidates, default=(ZERO_STAMP, ""))
+        return best[1] if best[0] > ZERO_STAMP else ""
 
     # -- what others' answers make possible ----------------------------------------------------
 
-    def settle(self, now: int) -> list[Output]:
+    def advance(self, now: int) -> list[Output]:
         """Lets the record stand and commits the write under way if it may be, then begins what comes next,
         and answers what can be answered."""
         out: list[Output] = []
-        before = self.reconfiguration.record
-        if self.reconfiguration.settle(now):
-            out += self.standing_events(before)
-        self.mark_late(now)
-        if self.reconfiguration.proposed is None and self.propose(now):
+        before = self.reconfiguration.current
+        if self.reconfiguration.commit_proposal(now):
+            out += self.replica_set_events(before)
+        self.eject_late_copies(now)
+        if self.reconfiguration.proposed is None and self.propose_replica_set(now):
             out += self.renew(now)
-        if self.write_began is not None and self.settled(now, self.write_began):
+        if self.write_began_at is not None and self.is_committed(now, self.write_began_at):
             out += self.commit(now)
-        out += self.answer(now)
-        if self.write_began is None and self.holds(now):
-            out += self.next_write(now)
-            out += self.answer(now)
-        return out + self.teach(now)
+        out += self.answer_orders(now)
+        if self.write_began_at is None and self.is_leader(now):
+            out += self.begin_next_write(now)
+            out += self.answer_orders(now)
+        return out + self.replicate(now)
 
-    def standing_events(self, before: ReplicaSet) -> list[Output]:
+    def replica_set_events(self, before: ReplicaSet) -> list[Output]:
         """What the log says of a set that has come to stand.
 
         :param before: the set that stood until now
         """
-        record = self.reconfiguration.record
+        record = self.reconfiguration.current
         facts = {"copies": ",".join(record.copies), "number": record.number}
         events = [LogEvent(Event.COPIES_HELD, {"epoch": self.epoch} | facts)]
         for ip in sorted(set(record.members) - voters(before)):
@@ -308,152 +349,170 @@
             events.append(LogEvent(Event.MEMBER_REMOVED, {"member": ip, "members": len(record.members)}))
         return list(events)
 
-    def propose(self, now: int) -> bool:
+    def propose_replica_set(self, now: int) -> bool:
         """Whether the next replica set was proposed: other copies, or other voters."""
         reconfiguration = self.reconfiguration
-        record = reconfiguration.record
-        if not reconfiguration.standing:
+        record = reconfiguration.current
+        if not reconfiguration.is_established:
             # Danger: the set that was found may stand or not; the same electorates have to decide on it.
-            return self.propose_whole(now, record.members, record.previous_members)
-        if reconfiguration.joint:
+            return self.propose_if_copied(now, record.members, record.previous_members)
+        if reconfiguration.is_joint:
             reconfiguration.propose(record.copies, record.members)
             return True
         members = self.next_members(now)
-        if set(members) != set(record.members) and self.propose_whole(now, members, record.members):
+        if set(members) != set(record.members) and self.propose_if_copied(now, members, record.members):
             return True
-        copies_change = reconfiguration.wanted(now) != set(record.copies)
-        return copies_change and self.propose_whole(now, record.members)
+        copies_change = reconfiguration.preferred_copies(now) != set(record.copies)
+        return copies_change and self.propose_if_copied(now, record.members)
 
-    def propose_whole(self, now: int, members: Sequence[str], previous: Sequence[str] = ()) -> bool:
+    def propose_if_copied(self, now: int, members: Sequence[str], previous: Sequence[str] = ()) -> bool:
         """Whether a set was proposed: all that it newly names hold the whole state.
 
         :param previous: the voters before, where `members` are others
         """
         reconfiguration = self.reconfiguration
-        wanted = reconfiguration.wanted(now, members)
-        newcomers = set(members) - set(reconfiguration.record.members)
-        since = at(self.committed or self.memory.state)
-        if not all(reconfiguration.whole(now, ip, since) for ip in wanted | newcomers):
+        wanted = reconfiguration.preferred_copies(now, members)
+        newcomers = set(members) - set(reconfiguration.current.members)
+        since = state_stamp(self.committed or self.durable.state)
+        if not all(reconfiguration.has_copy_since(now, ip, since) for ip in wanted | newcomers):
             return False
         reconfiguration.propose(wanted, members, previous)
         return True
 
     def next_members(self, now: int) -> list[str]:
         """The voters that there should be."""
-        if self.committed is None or self.reconfiguration.joint:
+        if self.committed is None or self.reconfiguration.is_joint:
             return self.reconfiguration.members
-        return self.reconfiguration.next_members(now, self.began)
+        return self.reconfiguration.next_members(now, self.began_at)
 
-    def settled(self, now: int, began: int) -> bool:
-        reconfiguration, newest = self.reconfiguration, at(self.memory.state)
-        if not reconfiguration.standing or not all(
-            reconfiguration.whole(now, ip, newest) for ip in reconfiguration.copies()
+    def is_committed(self, now: int, began_at: int) -> bool:
+        reconfiguration, newest = self.reconfiguration, state_stamp(self.durable.state)
+        if not reconfiguration.is_established or not all(
+            reconfiguration.has_copy_since(now, ip, newest) for ip in reconfiguration.required_copies()
         ):
             return False
         # Copies in another zone are on their way: a zone may be lost right after the answer.
-        coming = self.peers.apart(reconfiguration.wanted(now)) and not self.peers.apart(
-            set(reconfiguration.record.copies)
+        coming = self.peers.span_zones(reconfiguration.preferred_copies(now)) and not self.peers.span_zones(
+            set(reconfiguration.current.copies)
         )
-        return not coming or now >= began + self.timing.other_zone_us
+        return not coming or now >= began_at + self.timing.other_zone_timeout_us
 
     def commit(self, now: int) -> list[Output]:
-        self.committed, self.write_began = self.memory.state, None
-        facts = {"stamp": at(self.committed), "version": self.committed.version}
+        self.committed, self.write_began_at = self.durable.state, None
+        facts = {"stamp": state_stamp(self.committed), "version": self.committed.version}
         return [Committed(self.committed), LogEvent(Event.STATE_COMMITTED, facts), *self.renew(now)]
 
-    def next_write(self, now: int) -> list[Output]:
+    def begin_next_write(self, now: int) -> list[Output]:
         """All orders that wait go into one write."""
-        batch = OrderBatch(self.memory.state, self.numbers)
-        waiting, self.waiting = self.waiting, []
-        done: list[Output] = []
-        for one in waiting:
+        batch = OrderBatch(self.durable.state, self.known_bodies)
+        pending, self.pending_changes = self.pending_changes, []
+        outputs: list[Output] = []
+        for one in pending:
             decision = batch.decide(one.order)
-            if decision.relies_on_write:
-                self.writing.append((one, decision))
+            if decision.needs_commit:
+                self.orders_in_write.append((one, decision))
             else:
-                done += decision.answer(one.number)
-        self.numbers = batch.numbers()
-        if batch.state is not batch.held or self.dropped(now):
-            return done + self.write(now, batch.state)
-        return done
+                outputs += decision.outputs(one.order_id)
+        self.known_bodies = batch.known_bodies()
+        if batch.state is not batch.committed or self.must_rewrite_dropped_copy(now):
+            return outputs + self.write(now, batch.state)
+        return outputs
 
     # -- copies that are needed no more --------------------------------------------------------
 
-    def drop(self, now: int) -> list[Output]:
+    def drop_unneeded_copies(self, now: int) -> list[Output]:
         reconfiguration = self.reconfiguration
-        if not reconfiguration.standing or reconfiguration.proposed is not None or self.committed is None:
+        if (
+            not reconfiguration.is_established
+            or reconfiguration.proposed is not None
+            or self.committed is None
+        ):
             return []
-        if now < reconfiguration.changed_at + self.timing.drop_copy_us:
+        if now < reconfiguration.established_at + self.timing.copy_retention_us:
             return []
         # Danger: what is being written now may be needed there yet.
-        keep, upto = self.taught(now), at(self.committed)
+        keep, dropped_stamp = self.replication_targets(now), state_stamp(self.committed)
         out: list[Output] = []
-        for ip in [*reconfiguration.everybody(), *self.progress.learners]:
-            backup = self.progress.member(ip)
-            if ip not in keep and backup.holds:
-                backup.dropped, backup.holds, backup.copy = upto, False, START
-                out.append(Send(ip, ControlMessage(drop=Drop(epoch=self.epoch, stamp=stamp(upto)))))
+        for ip in [*reconfiguration.other_voters(), *self.progress.learners]:
+            progress = self.progress.of(ip)
+            if ip not in keep and progress.has_copy:
+                progress.dropped_stamp, progress.has_copy, progress.copy_stamp = (
+                    dropped_stamp,
+                    False,
+                    ZERO_STAMP,
+                )
+                out.append(
+                    Send(ip, ControlMessage(drop=Drop(epoch=self.epoch, stamp=stamp_message(dropped_stamp))))
+                )
         return out
 
-    def dropped(self, now: int) -> bool:
+    def must_rewrite_dropped_copy(self, now: int) -> bool:
         """Whether one is to hold a copy again that was told to drop this very state: it counts under a later
         stamp only, as the order to drop may be late."""
-        return any(self.progress.member(ip).dropped >= at(self.memory.state) for ip in self.taught(now))
+        return any(
+            self.progress.of(ip).dropped_stamp >= state_stamp(self.durable.state)
+            for ip in self.replication_targets(now)
+        )
 
     # -- orders --------------------------------------------------------------------------------
 
     def submit(self, now: int, asked: Submitted) -> list[Output]:
-        if len(self.waiting) + len(self.writing) + len(self.reading) >= MOST_ORDERS:
-            return [Completed(asked.number, Failure(Fault(Kind.NOT_SETTLED, "too many orders wait")))]
-        queue = self.reading if isinstance(asked.order, Retrieve) else self.waiting
-        queue.append(Waiting(asked.number, asked.order, now + self.timing.order_us))
+        if (
+            len(self.pending_changes) + len(self.orders_in_write) + len(self.pending_reads)
+            >= MAX_PENDING_ORDERS
+        ):
+            return [Completed(asked.order_id, Failure(Fault(Kind.NOT_SETTLED, "too many orders wait")))]
+        queue = self.pending_reads if isinstance(asked.order, RetrieveOrder) else self.pending_changes
+        queue.append(PendingOrder(asked.order_id, asked.order, now + self.timing.order_timeout_us))
         return []
 
-    def answer(self, now: int) -> list[Output]:
+    def answer_orders(self, now: int) -> list[Output]:
         """What a settled write carries, what is to be read, and what waited too long."""
         out: list[Output] = []
-        if self.holds(now):
-            out += [Completed(w.number, self.read()) for w in self.reading]
-            self.reading = []
-            if self.write_began is None:
-                out += [one for w, decision in self.writing for one in decision.answer(w.number)]
-                self.writing = []
-        late = [w for w in self.all_waiting() if now >= w.until]
-        if late:
-            self.reading = [w for w in self.reading if now < w.until]
-            self.waiting = [w for w in self.waiting if now < w.until]
-            self.writing = [(w, decision) for w, decision in self.writing if now < w.until]
-        return out + unsettled(late, "not on enough disks in time")
-
-    def all_waiting(self) -> list[Waiting]:
-        return [*self.reading, *self.waiting, *(w for w, _ in self.writing)]
-
-    def read(self) -> Result[bytes, Fault]:
+        if self.is_leader(now):
+            out += [Completed(w.order_id, self.read_configuration()) for w in self.pending_reads]
+            self.pending_reads = []
+            if self.write_began_at is None:
+                out += [one for w, decision in self.orders_in_write for one in decision.outputs(w.order_id)]
+                self.orders_in_write = []
+        expired = [w for w in self.all_pending() if now >= w.expires_at]
+        if expired:
+            self.pending_reads = [w for w in self.pending_reads if now < w.expires_at]
+            self.pending_changes = [w for w in self.pending_changes if now < w.expires_at]
+            self.orders_in_write = [
+                (w, decision) for w, decision in self.orders_in_write if now < w.expires_at
+            ]
+        return out + uncommitted(expired, "not on enough disks in time")
+
+    def all_pending(self) -> list[PendingOrder]:
+        return [*self.pending_reads, *self.pending_changes, *(w for w, _ in self.orders_in_write)]
+
+    def read_configuration(self) -> Result[bytes, Fault]:
         if self.committed is None or not self.committed.version:
             return Failure(Fault(Kind.NOT_SETTLED, "no configuration yet"))
         return Success(self.committed.configuration)
 
-    def give_up(self) -> list[Output]:
-        late = self.all_waiting()
-        self.reading, self.waiting, self.writing = [], [], []
-        return unsettled(late, "this machine is the primary no more")
+    def fail_pending_orders(self) -> list[Output]:
+        late = self.all_pending()
+        self.pending_reads, self.pending_changes, self.orders_in_write = [], [], []
+        return uncommitted(late, "this machine is the primary no more")
 
     # -- machines that ask to join -------------------------------------------------------------
 
-    def join(self, now: int, ip: str) -> list[Output]:
+    def on_join(self, now: int, ip: str) -> list[Output]:
         """A machine with a disk that does not vote is a learner for as long as it asks."""
         learners = self.progress.learners
-        if ip in self.reconfiguration.everybody():
+        if ip in self.reconfiguration.other_voters():
             return []
         if ip in learners:
-            learners[ip].joined_at = now
+            learners[ip].last_join_at = now
             return []
-        if len(learners) >= MOST_LEARNERS:
+        if len(learners) >= MAX_LEARNERS:
             return []
         self.progress.members.pop(ip, None)
-        learners[ip] = ReplicaProgress(joined_at=now)
+        learners[ip] = ReplicaProgress(last_join_at=now)
         return self.renew(now)  # it has the set that stands as soon as can be
 
 
-def unsettled(waiting: Iterable[Waiting], text: str) -> list[Output]:
-    return [Completed(w.number, Failure(Fault(Kind.NOT_SETTLED, text))) for w in waiting]
+def uncommitted(pending: Iterable[PendingOrder], text: str) -> list[Output]:
+    return [Completed(w.order_id, Failure(Fault(Kind.NOT_SETTLED, text))) for w in pending]
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -12,27 +12,27 @@
 from vetchusher.distribution.wire_pb2 import LeaseRenewalReply, WriteReply
 
 from .messages import Timing
-from .state import START, Point, point
+from .state import ZERO_STAMP, StampTuple, stamp_tuple
 
-ROUNDS = 16  # renewals whose answers can still count
+MAX_OPEN_ROUNDS = 16  # renewals whose answers can still count
 
 
 @dataclass(slots=True)
-class Peers:
+class PeerTable:
     """Who was heard when, from which zone, the life of its process, and who is about to end.  Bounded:
     `Replica` forgets the one longest unheard."""
 
-    me: str
+    own_ip: str
     zones: dict[str, str] = field(default_factory=dict)
-    heard_at: dict[str, int] = field(default_factory=dict)
-    lives: dict[str, int] = field(default_factory=dict)
+    last_contact_at: dict[str, int] = field(default_factory=dict)
+    incarnations: dict[str, int] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
 
-    def heard_within(self, now: int, period_us: int) -> set[str]:
+    def contacted_within(self, now: int, period_us: int) -> set[str]:
         """Who was heard in that time until now."""
-        return {ip for ip, heard in self.heard_at.items() if now < heard + period_us}
+        return {ip for ip, heard in self.last_contact_at.items() if now < heard + period_us}
 
-    def apart(self, ips: set[str]) -> bool:
+    def span_zones(self, ips: set[str]) -> bool:
         """Whether they lie in more than one zone."""
         return len({self.zones.get(ip) for ip in ips}) > 1
 
@@ -49,26 +49,26 @@
     :param rested_until: it was late with a write: until then, or until it syncs one, it is not chosen
     """
 
-    copy: Point = START
-    copy_until: int = 0
-    holds: bool = False
-    dropped: Point = START
-    record: Point = START
-    lease_until: int = 0
-    round: int = 0
+    copy_stamp: StampTuple = ZERO_STAMP
+    copy_valid_until: int = 0
+    has_copy: bool = False
+    dropped_stamp: StampTuple = ZERO_STAMP
+    replica_set_id: StampTuple = ZERO_STAMP
+    lease_expires_at: int = 0
+    last_round: int = 0
     amnesiac: bool = False
-    needs_whole: bool = False
-    wrote: Point = START
-    first_at: int = 0
-    last_at: int = 0
+    needs_full_body: bool = False
+    sent_stamp: StampTuple = ZERO_STAMP
+    first_sent_at: int = 0
+    last_sent_at: int = 0
     sent_bytes: int = 0
-    pause: int = 0
-    rested_until: int = 0
-    joined_at: int = 0  # of a learner: when it asked last
+    resend_delay_us: int = 0
+    ejected_until: int = 0
+    last_join_at: int = 0  # of a learner: when it asked last
 
-    def reborn(self) -> None:
+    def reset_after_restart(self) -> None:
         """Another process speaks: what it has on its disk it is to say anew."""
-        self.copy = self.wrote = self.record = START
+        self.copy_stamp = self.sent_stamp = self.replica_set_id = ZERO_STAMP
         self.amnesiac = False
 
 
@@ -76,91 +76,101 @@
     """It owns the members' and the learners' words (learners that stop asking are dropped), and when each
     renewal was sent."""
 
-    def __init__(self, timing: Timing, peers: Peers, first_round: int, began: int = 0) -> None:
+    def __init__(self, timing: Timing, peers: PeerTable, first_round: int, began_at: int = 0) -> None:
         """:param began: when the epoch did"""
         self.timing = timing
-        self.answers_from = began + timing.answer_us
+        self.answers_expected_from = began_at + timing.first_answer_us
         self.peers = peers
         self.round = first_round
-        self.rounds: dict[int, int] = {}  # sent when
+        self.round_sent_at: dict[int, int] = {}  # sent when
         self.members: dict[str, ReplicaProgress] = {}
         self.learners: dict[str, ReplicaProgress] = {}
 
-    def member(self, ip: str) -> ReplicaProgress:
+    def of(self, ip: str) -> ReplicaProgress:
         learner = self.learners.get(ip)
         return self.members.setdefault(ip, ReplicaProgress()) if learner is None else learner
 
-    def seat(self, ip: str) -> None:
+    def promote_learner(self, ip: str) -> None:
         """A learner is a voter from now on."""
         if ip in self.learners:
             self.members[ip] = self.learners.pop(ip)
 
-    def known(self, ip: str) -> ReplicaProgress | None:
+    def find(self, ip: str) -> ReplicaProgress | None:
         return self.members.get(ip) or self.learners.get(ip)
 
-    def heard(self, now: int, ip: str) -> bool:
+    def is_reachable(self, now: int, ip: str) -> bool:
         return (
-            ip == self.peers.me
-            or now < self.peers.heard_at.get(ip, now - self.timing.heard_us) + self.timing.heard_us
+            ip == self.peers.own_ip
+            or now
+            < self.peers.last_contact_at.get(ip, now - self.timing.contact_timeout_us)
+            + self.timing.contact_timeout_us
         )
 
     def next_round(self, now: int) -> int:
         self.round += 1
-        self.rounds[self.round] = now
-        self.rounds.pop(self.round - ROUNDS, None)
+        self.round_sent_at[self.round] = now
+        self.round_sent_at.pop(self.round - MAX_OPEN_ROUNDS, None)
         return self.round
 
-    def renewed(self, sender: str, answer: LeaseRenewalReply) -> None:
-        backup, sent = self.known(sender), self.rounds.get(answer.round)
-        if backup is None or sent is None or answer.round <= backup.round:
+    def on_renewal_reply(self, sender: str, reply: LeaseRenewalReply) -> None:
+        progress, sent_at = self.find(sender), self.round_sent_at.get(reply.round)
+        if progress is None or sent_at is None or reply.round <= progress.last_round:
             return
-        backup.round = answer.round
-        backup.amnesiac = answer.amnesiac
-        if answer.accepted:
-            backup.lease_until = backup.copy_until = sent + self.timing.held_us
+        progress.last_round = reply.round
+        progress.amnesiac = reply.amnesiac
+        if reply.accepted:
+            progress.lease_expires_at = progress.copy_valid_until = sent_at + self.timing.answer_valid_us
         # It may be less than it was: the newest word counts.
-        backup.holds = answer.accepted and answer.copy
-        told = point(answer.stamp)
-        backup.copy = told if backup.holds and told > backup.dropped else START
-        backup.record = point(answer.record) if answer.accepted else START
-
-    def written(self, sender: str, answer: WriteReply) -> None:
-        backup = self.known(sender)
-        if backup is None or not answer.accepted or backup.wrote <= backup.dropped:
+        progress.has_copy = reply.accepted and reply.copy
+        reported_stamp = stamp_tuple(reply.stamp)
+        progress.copy_stamp = (
+            reported_stamp if progress.has_copy and reported_stamp > progress.dropped_stamp else ZERO_STAMP
+        )
+        progress.replica_set_id = stamp_tuple(reply.record) if reply.accepted else ZERO_STAMP
+
+    def on_write_reply(self, sender: str, reply: WriteReply) -> None:
+        progress = self.find(sender)
+        if progress is None or not reply.accepted or progress.sent_stamp <= progress.dropped_stamp:
             return
-        if point(answer.stamp) == backup.wrote:
-            until = backup.first_at + self.timing.held_us
+        if stamp_tuple(reply.stamp) == progress.sent_stamp:
+            valid_until = progress.first_sent_at + self.timing.answer_valid_us
             # Danger: a late word must not borrow the time of a newer one that told less.
-            backup.copy_until = max(until, backup.copy_until) if backup.copy == backup.wrote else until
-            backup.copy, backup.holds, backup.rested_until = backup.wrote, True, 0
-            backup.needs_whole = False
-
-    def copy(self, now: int, ip: str) -> Point:
+            progress.copy_valid_until = (
+                max(valid_until, progress.copy_valid_until)
+                if progress.copy_stamp == progress.sent_stamp
+                else valid_until
+            )
+            progress.copy_stamp, progress.has_copy, progress.ejected_until = progress.sent_stamp, True, 0
+            progress.needs_full_body = False
+
+    def copy_stamp(self, now: int, ip: str) -> StampTuple:
         """Stamp of the copy on that member's disk, as far as its word still counts."""
-        backup = self.member(ip)
-        return backup.copy if now < backup.copy_until else START
+        progress = self.of(ip)
+        return progress.copy_stamp if now < progress.copy_valid_until else ZERO_STAMP
 
-    def record(self, now: int, ip: str) -> Point:
-        backup = self.member(ip)
-        return backup.record if now < backup.lease_until else START
+    def replica_set_id(self, now: int, ip: str) -> StampTuple:
+        progress = self.of(ip)
+        return progress.replica_set_id if now < progress.lease_expires_at else ZERO_STAMP
 
-    def rests(self, now: int, ip: str) -> bool:
+    def is_ejected(self, now: int, ip: str) -> bool:
         """It was late a moment ago, and is up."""
-        return now < self.member(ip).rested_until and self.heard(now, ip)
+        return now < self.of(ip).ejected_until and self.is_reachable(now, ip)
 
-    def well(self, now: int, ip: str) -> bool:
+    def is_eligible(self, now: int, ip: str) -> bool:
         """Whether it may be chosen to hold a copy."""
-        if ip == self.peers.me:
+        if ip == self.peers.own_ip:
             return True
-        backup = self.member(ip)
-        ready = not backup.amnesiac and ip not in self.peers.leaving and self.answers(now, ip)
-        return ready and self.heard(now, ip) and now >= backup.rested_until
+        progress = self.of(ip)
+        may_hold_copy = not progress.amnesiac and ip not in self.peers.leaving and self.is_answering(now, ip)
+        return may_hold_copy and self.is_reachable(now, ip) and now >= progress.ejected_until
 
-    def answers(self, now: int, ip: str) -> bool:
+    def is_answering(self, now: int, ip: str) -> bool:
         """Danger: one that is heard and hears nothing would be waited for with each write."""
-        return now < self.answers_from or now < self.member(ip).lease_until
+        return now < self.answers_expected_from or now < self.of(ip).lease_expires_at
 
-    def forget_learners(self, now: int) -> None:
-        old = [ip for ip, x in self.learners.items() if now >= x.joined_at + self.timing.learner_us]
+    def expire_learners(self, now: int) -> None:
+        old = [
+            ip for ip, x in self.learners.items() if now >= x.last_join_at + self.timing.learner_timeout_us
+        ]
         for ip in old:
             del self.learners[ip]
--- a/vetchusher/control/reconfiguration.py
+++ b/vetchusher/control/reconfiguration.py
@@ -18,8 +18,8 @@
 
 from .durable_state import DurableState
 from .progress import ProgressTracker
-from .seats import Roster, next_members, size_for
-from .state import Point, copies_needed, electorates, has_quorum, majority, place, voters
+from .seats import MembershipView, next_members, voters_for
+from .state import StampTuple, copies_needed, electorates, has_quorum, majority, replica_set_id, voters
 
 
 class Reconfiguration:
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        memory: DurableState,
+        durable: DurableState,
         progress: ProgressTracker,
         epoch: int,
         found: ReplicaSet,
@@ -36,143 +36,155 @@
         now: int,
     ) -> None:
         """:param losses: how many machines may be lost at a time"""
-        self.memory = memory
+        self.durable = durable
         self.progress = progress
-        self.me = progress.peers.me
+        self.own_ip = progress.peers.own_ip
         self.epoch = epoch
         self.losses = losses
-        self.record = found
+        self.current = found
         self.proposed: ReplicaSet | None = None
-        self.changed_at = now
+        self.established_at = now
 
     @property
-    def standing(self) -> bool:
+    def is_established(self) -> bool:
         """Without a set of this epoch nothing may be acknowledged."""
-        return self.record.epoch == self.epoch
+        return self.current.epoch == self.epoch
 
     @property
-    def joint(self) -> bool:
+    def is_joint(self) -> bool:
         """A change of voters has come to stand, and is to be ended."""
-        return bool(self.record.previous_members)
+        return bool(self.current.previous_members)
 
     @property
     def members(self) -> list[str]:
-        return list(self.record.members)
+        return list(self.current.members)
 
-    def sets(self) -> list[ReplicaSet]:
-        return [one for one in (self.record, self.proposed) if one is not None]
+    def replica_sets(self) -> list[ReplicaSet]:
+        return [one for one in (self.current, self.proposed) if one is not None]
 
     def electorates(self) -> list[Sequence[str]]:
         """A majority of each is needed for whatever needs one."""
-        return [electorate for one in self.sets() for electorate in electorates(one)]
+        return [electorate for one in self.replica_sets() for electorate in electorates(one)]
 
-    def everybody(self) -> list[str]:
+    def other_voters(self) -> list[str]:
         """All voters but this machine, the coming ones too."""
-        return sorted({ip for one in self.sets() for ip in voters(one)} - {self.me})
+        return sorted({ip for one in self.replica_sets() for ip in voters(one)} - {self.own_ip})
 
-    def copies(self) -> set[str]:
+    def required_copies(self) -> set[str]:
         """Whose disks a write needs now."""
-        standing = self.record.copies if self.standing else ()
-        return {*standing, *(self.proposed.copies if self.proposed else ())}
+        established = self.current.copies if self.is_established else ()
+        return {*established, *(self.proposed.copies if self.proposed else ())}
 
-    def newest(self) -> ReplicaSet | None:
+    def newest_of_epoch(self) -> ReplicaSet | None:
         """Of this epoch."""
-        return self.proposed or (self.record if self.standing else None)
+        return self.proposed or (self.current if self.is_established else None)
 
-    def lease_until(self, now: int) -> int:
+    def lease_expires_at(self, now: int) -> int:
         """Until when a majority of each electorate promises no other epoch; this machine is one of them."""
-        held = now + self.progress.timing.held_us
-        ends = []
+        own_expiry = now + self.progress.timing.answer_valid_us
+        expiries = []
         for members in self.electorates():
-            leases = [self.progress.member(ip).lease_until if ip != self.me else held for ip in members]
-            ends.append(sorted(leases, reverse=True)[majority(len(members)) - 1])
-        return min(ends)
+            leases = [
+                self.progress.of(ip).lease_expires_at if ip != self.own_ip else own_expiry for ip in members
+            ]
+            expiries.append(sorted(leases, reverse=True)[majority(len(members)) - 1])
+        return min(expiries)
 
-    def settle(self, now: int) -> bool:
+    def commit_proposal(self, now: int) -> bool:
         """Whether the proposed set has come to stand just now."""
         if self.proposed is None:
             return False
-        wanted = place(self.proposed)
-        holders = {ip for ip in self.everybody() if self.progress.record(now, ip) >= wanted}
-        if self.memory.synced_record >= wanted:
-            holders.add(self.me)
-        if not all(has_quorum(one, holders) for one in self.sets()):
+        wanted = replica_set_id(self.proposed)
+        holders = {ip for ip in self.other_voters() if self.progress.replica_set_id(now, ip) >= wanted}
+        if self.durable.synced_replica_set >= wanted:
+            holders.add(self.own_ip)
+        if not all(has_quorum(one, holders) for one in self.replica_sets()):
             return False
-        self.record, self.proposed, self.changed_at = self.proposed, None, now
+        self.current, self.proposed, self.established_at = self.proposed, None, now
         return True
 
     def propose(self, copies: Iterable[str], members: Sequence[str], previous: Sequence[str] = ()) -> None:
         """:param previous: the voters before, while these are being changed"""
         for ip in members:
-            self.progress.seat(ip)
-        number = self.record.number + 1 if self.standing else 1
+            self.progress.promote_learner(ip)
+        number = self.current.number + 1 if self.is_established else 1
         self.proposed = ReplicaSet(
             epoch=self.epoch,
             number=number,
-            primary=self.me,
+            primary=self.own_ip,
             copies=sorted(copies),
             members=sorted(members),
             previous_members=sorted(previous),
         )
-        self.memory.accept(self.proposed)
+        self.durable.accept_replica_set(self.proposed)
 
     # -- who is to vote ------------------------------------------------------------------------
 
-    def ready(self, now: int) -> list[str]:
+    def ready_learners(self, now: int) -> list[str]:
         """Learners that have the standing set on disk, and may become members."""
         peers = self.progress.peers
         return [
             ip
             for ip, x in sorted(self.progress.learners.items())
-            if now < x.lease_until
-            and x.record >= place(self.record)
+            if now < x.lease_expires_at
+            and x.replica_set_id >= replica_set_id(self.current)
             and not x.amnesiac
             and ip not in peers.leaving
         ]
 
-    def next_members(self, now: int, began: int) -> list[str]:
+    def next_members(self, now: int, epoch_began_at: int) -> list[str]:
         """The voters that there should be, as far as is known now."""
         peers, timing = self.progress.peers, self.progress.timing
-        since = {ip: max(began, peers.heard_at.get(ip, 0)) for ip in self.members if ip != self.me}
-        silent = sorted(since, key=since.__getitem__)
-        leaving = [ip for ip in silent if ip in peers.leaving]
-        unheard = [ip for ip in silent if now >= since[ip] + timing.replace_us and ip not in leaving]
-        roster = Roster(
+        contact_at = {
+            ip: max(epoch_began_at, peers.last_contact_at.get(ip, 0))
+            for ip in self.members
+            if ip != self.own_ip
+        }
+        by_last_contact = sorted(contact_at, key=contact_at.__getitem__)
+        leaving = [ip for ip in by_last_contact if ip in peers.leaving]
+        unreachable = [
+            ip
+            for ip in by_last_contact
+            if now >= contact_at[ip] + timing.replacement_timeout_us and ip not in leaving
+        ]
+        snapshot = MembershipView(
             members=self.members,
-            gone=[*leaving, *unheard],
-            gone_for_long=[ip for ip in silent if now >= since[ip] + timing.drop_us],
-            spares=self.ready(now),
-            primary=self.me,
-            keep=frozenset({self.me, *self.record.copies}),
+            unavailable=[*leaving, *unreachable],
+            long_unavailable=[
+                ip for ip in by_last_contact if now >= contact_at[ip] + timing.removal_timeout_us
+            ],
+            ready_learners=self.ready_learners(now),
+            primary=self.own_ip,
+            protected=frozenset({self.own_ip, *self.current.copies}),
             zones=peers.zones,
         )
-        return next_members(roster, size_for(self.losses))
+        return next_members(snapshot, voters_for(self.losses))
 
     # -- who is to hold copies -----------------------------------------------------------------
 
-    def wanted(self, now: int, members: Sequence[str] | None = None) -> set[str]:
+    def preferred_copies(self, now: int, members: Sequence[str] | None = None) -> set[str]:
         """As many as are needed, of those that are well; those that hold copies already first; in two zones
         where any member of another zone is well.
 
         :param members: the voters that there should be; None: those of today
         """
-        members, holding = self.members if members is None else members, self.record.copies
+        members, current_copies = self.members if members is None else members, self.current.copies
         size = copies_needed(len(members), self.losses)
-        well = sorted(
-            (ip for ip in members if self.progress.well(now, ip)),
-            key=lambda ip: (ip != self.me, ip not in holding, ip),
+        eligible = sorted(
+            (ip for ip in members if self.progress.is_eligible(now, ip)),
+            key=lambda ip: (ip != self.own_ip, ip not in current_copies, ip),
         )
-        chosen = well[:size]
+        chosen = eligible[:size]
         zones = self.progress.peers.zones
-        elsewhere = [ip for ip in well if zones.get(ip) != zones.get(self.me)]
+        elsewhere = [ip for ip in eligible if zones.get(ip) != zones.get(self.own_ip)]
         if elsewhere and len(chosen) > 1 and not set(chosen) & set(elsewhere):
             chosen[-1] = elsewhere[0]
         # Too few are well: the others have to come back.
-        left = sorted(set(members) - set(chosen), key=lambda ip: (ip not in holding, ip))
-        return {*chosen, *left[: size - len(chosen)]}
+        fallback = sorted(set(members) - set(chosen), key=lambda ip: (ip not in current_copies, ip))
+        return {*chosen, *fallback[: size - len(chosen)]}
 
-    def whole(self, now: int, ip: str, since: Point) -> bool:
+    def has_copy_since(self, now: int, ip: str, since: StampTuple) -> bool:
         """Whether that machine's disk has a copy not older than that."""
-        if ip == self.me:
-            return self.memory.synced_copy and self.memory.synced_stamp >= since
-        return self.progress.copy(now, ip) >= since
+        if ip == self.own_ip:
+            return self.durable.synced_has_copy and self.durable.synced_stamp >= since
+        return self.progress.copy_stamp(now, ip) >= since
