--- a/vetchusher/control/repair.py
+++ b/vetchusher/control/repair.py
@@ -27,14 +27,14 @@
 
 from .digests import DEPTH, LEAVES
 from .messages import Received, Send
-from .state import START, Point, point, stamp
-from .store import Copy, Scanned
+from .state import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
+from .store import ScanResult, StoredCopy
 
-BATCH = 16  # leaves asked for in one message
+MAX_LEAVES_PER_REQUEST = 16  # leaves asked for in one message
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class RepairTiming:
     """All in us.
 
     :param compare_us: between two comparisons: 150 bytes there and back for each backup on a calm day
@@ -43,17 +43,17 @@
     :param patience_us: for an answer; then the round is given up
     """
 
-    compare_us: int = 60_000_000
-    pass_us: int = 60_000_000
-    part_us: int = 5_000_000
-    patience_us: int = 3_000_000
+    comparison_interval_us: int = 60_000_000
+    scan_pass_us: int = 60_000_000
+    scan_interval_us: int = 5_000_000
+    reply_timeout_us: int = 3_000_000
 
 
 # -- inputs, beside `Received` ------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
+class ReplicaStatus:
     """Time has passed, and this is how the control state stands here.
 
     :param primary: its ip; empty: unknown
@@ -64,20 +64,20 @@
     """
 
     primary: str
-    leads: bool
-    committed: Point
-    copy: Copy | None
-    written: int | None
+    is_leader: bool
+    committed: StampTuple
+    copy: StoredCopy | None
+    generation: int | None
 
 
 @dataclass(slots=True, frozen=True)
-class Fetched:
+class RowsFetched:
     """What a `Fetch` found.
 
     :param rows: None: the copy has another stamp by now, or one of the rows is spoilt
     """
 
-    fetch: Fetch
+    request: FetchRows
     rows: dict[str, bytes] | None
 
 
@@ -85,214 +85,234 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Scan:
+class ScanRows:
     """Look at the next part of the rows on disk; answered by `Scanned`."""
 
 
 @dataclass(slots=True, frozen=True)
-class Fetch:
+class FetchRows:
     """Rows of those leaves, from the disk; answered by `Fetched`."""
 
     to: str
     round: int
-    at: Point
+    stamp: StampTuple
     leaves: tuple[int, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Rewrite:
+class RewriteRows:
     """Write all that the process holds again."""
 
 
 @dataclass(slots=True, frozen=True)
-class Mend:
+class RepairCopy:
     """Put the copy of that stamp together anew: in those leaves these rows, elsewhere its own.  It counts
     only if it has that root."""
 
-    at: Point
+    stamp: StampTuple
     leaves: tuple[int, ...]
     rows: dict[str, bytes]
     root: bytes
 
 
-Input = Look | Received | Scanned | Fetched
-Output = Send | LogEvent | Scan | Fetch | Rewrite | Mend
+Input = ReplicaStatus | Received | ScanResult | RowsFetched
+Output = Send | LogEvent | ScanRows | FetchRows | RewriteRows | RepairCopy
 
 
 @dataclass(slots=True)
-class Round:
+class Comparison:
     """One comparison with one other copy."""
 
     number: int
-    other: str
-    at: Point
-    until: int
+    peer: str
+    stamp: StampTuple
+    expires_at: int
     level: int = 0
     root: bytes = b""  # the other's
     leaves: tuple[int, ...] = ()  # that differ
     rows: dict[str, bytes] = field(default_factory=dict)  # of those that have been told
-    told: int = 0  # leaves
+    leaves_received: int = 0  # leaves
 
 
-class Repair:
+class CopyRepair:
     """It owns the round under way, one at most, and what is known of the own rows."""
 
-    def __init__(self, me: str, pace: Pace, rng: random.Random, now: int) -> None:
-        self.me, self.pace, self.rng = me, pace, rng
-        self.look = Look("", False, START, None, None)
-        self.compare_at = now + rng.randrange(1, pace.compare_us)
-        self.scan_at = self.pass_at = now + rng.randrange(1, pace.part_us)
-        self.scanning = False
-        self.doubted: int | None = None  # of which writing (`Copy.written`) a row was found spoilt
-        self.round: Round | None = None
-        self.rounds = rng.randrange(1, 1 << 32)
+    def __init__(self, me: str, timing: RepairTiming, rng: random.Random, now: int) -> None:
+        self.own_ip, self.timing, self.rng = me, timing, rng
+        self.status = ReplicaStatus("", False, ZERO_STAMP, None, None)
+        self.next_comparison_at = now + rng.randrange(1, timing.comparison_interval_us)
+        self.next_scan_at = self.next_pass_at = now + rng.randrange(1, timing.scan_interval_us)
+        self.is_scanning = False
+        self.damaged_generation: int | None = None  # of which writing (`Copy.written`) a row was found spoilt
+        self.comparison: Comparison | None = None
+        self.last_comparison_number = rng.randrange(1, 1 << 32)
 
     @property
-    def sound(self) -> bool:
-        return self.doubted is None
+    def is_intact(self) -> bool:
+        return self.damaged_generation is None
 
     def handle(self, now: int, event: Input) -> list[Output]:
         match event:
-            case Look():
-                return self.tick(now, event)
-            case Scanned():
-                return self.scanned(now, event)
-            case Fetched():
-                return self.fetched(event)
+            case ReplicaStatus():
+                return self.on_status(now, event)
+            case ScanResult():
+                return self.on_scan_result(now, event)
+            case RowsFetched():
+                return self.on_rows_fetched(event)
             case Received():
-                return self.heard(now, event)
+                return self.on_message(now, event)
 
     # -- time ----------------------------------------------------------------------------------
 
-    def tick(self, now: int, look: Look) -> list[Output]:
-        self.look = look
+    def on_status(self, now: int, status: ReplicaStatus) -> list[Output]:
+        self.status = status
         out: list[Output] = []
-        copy = look.copy
-        if look.written is not None and self.doubted is not None and look.written > self.doubted:
-            self.doubted = None
-            out.append(LogEvent(Event.ROWS_MENDED, {"written": look.written}))
-        if self.round is not None and now >= self.round.until:
-            self.round = None
-        if look.written is not None and not self.scanning and now >= self.scan_at:
-            self.scanning = True
-            out.append(Scan())
-        if now >= self.compare_at and self.round is None and copy is not None:
-            self.compare_at = now + self.pace.compare_us
-            if look.primary and look.primary != self.me:
-                self.rounds += 1
-                self.round = Round(self.rounds, look.primary, copy.stamp, now + self.pace.patience_us)
-                out.append(self.ask(self.round, ()))
+        copy = status.copy
+        if (
+            status.generation is not None
+            and self.damaged_generation is not None
+            and status.generation > self.damaged_generation
+        ):
+            self.damaged_generation = None
+            out.append(LogEvent(Event.ROWS_MENDED, {"written": status.generation}))
+        if self.comparison is not None and now >= self.comparison.expires_at:
+            self.comparison = None
+        if status.generation is not None and not self.is_scanning and now >= self.next_scan_at:
+            self.is_scanning = True
+            out.append(ScanRows())
+        if now >= self.next_comparison_at and self.comparison is None and copy is not None:
+            self.next_comparison_at = now + self.timing.comparison_interval_us
+            if status.primary and status.primary != self.own_ip:
+                self.last_comparison_number += 1
+                self.comparison = Comparison(
+                    self.last_comparison_number,
+                    status.primary,
+                    copy.stamp,
+                    now + self.timing.reply_timeout_us,
+                )
+                out.append(self.request_digests(self.comparison, ()))
         return out
 
-    def scanned(self, now: int, found: Scanned) -> list[Output]:
-        self.scanning = False
-        self.scan_at = now + self.pace.part_us
-        if found.whole:
-            self.scan_at = max(self.scan_at, self.pass_at + self.pace.pass_us)
-            self.pass_at = self.scan_at
-        if not found.bad or self.look.written is None:
+    def on_scan_result(self, now: int, result: ScanResult) -> list[Output]:
+        self.is_scanning = False
+        self.next_scan_at = now + self.timing.scan_interval_us
+        if result.pass_completed:
+            self.next_scan_at = max(self.next_scan_at, self.next_pass_at + self.timing.scan_pass_us)
+            self.next_pass_at = self.next_scan_at
+        if not result.damaged or self.status.generation is None:
             return []
-        self.doubted = self.look.written
-        self.compare_at = now  # what is written again is compared with the primary's at once
-        return [LogEvent(Event.ROWS_SPOILT, {"rows": "; ".join(found.bad)}), Rewrite()]
+        self.damaged_generation = self.status.generation
+        self.next_comparison_at = now  # what is written again is compared with the primary's at once
+        return [LogEvent(Event.ROWS_SPOILT, {"rows": "; ".join(result.damaged)}), RewriteRows()]
 
     # -- asking --------------------------------------------------------------------------------
 
-    def ask(self, round_: Round, ranges: tuple[int, ...]) -> Send:
-        message = Compare(round=round_.number, stamp=stamp(round_.at), level=round_.level, ranges=ranges)
-        return Send(round_.other, ControlMessage(compare=message))
+    def request_digests(self, comparison: Comparison, ranges: tuple[int, ...]) -> Send:
+        message = Compare(
+            round=comparison.number,
+            stamp=stamp_message(comparison.stamp),
+            level=comparison.level,
+            ranges=ranges,
+        )
+        return Send(comparison.peer, ControlMessage(compare=message))
 
-    def heard(self, now: int, event: Received) -> list[Output]:
+    def on_message(self, now: int, event: Received) -> list[Output]:
         message, sender = event.message, event.sender
         match message.WhichOneof("kind"):
             case "compare":
-                return [self.answer(sender, message.compare)]
+                return [self.digest_reply(sender, message.compare)]
             case "rows_asked":
-                asked = message.rows_asked
-                leaves = tuple(leaf for leaf in asked.leaves[:BATCH] if leaf < LEAVES)
-                return [Fetch(sender, asked.round, point(asked.stamp), leaves)]
+                request = message.rows_asked
+                leaves = tuple(leaf for leaf in request.leaves[:MAX_LEAVES_PER_REQUEST] if leaf < LEAVES)
+                return [FetchRows(sender, request.round, stamp_tuple(request.stamp), leaves)]
             case "compared":
-                return self.compared(now, sender, message.compared)
+                return self.on_digests(now, sender, message.compared)
             case "rows_told":
-                return self.rows_told(now, sender, message.rows_told)
+                return self.on_rows(now, sender, message.rows_told)
         return []
 
-    def under_way(self, sender: str, number: int, at: Point) -> tuple[Round, Copy] | None:
+    def current_comparison(
+        self, sender: str, number: int, stamp: StampTuple
+    ) -> tuple[Comparison, StoredCopy] | None:
         """The round that a message belongs to, and the own copy, while both stand at one stamp.
 
         Danger: of two copies of unlike stamps neither disproves the other.
         """
-        round_, copy = self.round, self.look.copy
-        if round_ is None or copy is None or (sender, number) != (round_.other, round_.number):
+        comparison, copy = self.comparison, self.status.copy
+        if comparison is None or copy is None or (sender, number) != (comparison.peer, comparison.number):
             return None
-        if not at == round_.at == copy.stamp:
-            self.round = None
+        if not stamp == comparison.stamp == copy.stamp:
+            self.comparison = None
             return None
-        return round_, copy
+        return comparison, copy
 
-    def compared(self, now: int, sender: str, answer: Compared) -> list[Output]:
-        found = self.under_way(sender, answer.round, point(answer.stamp))
-        if found is None or answer.level != found[0].level:
+    def on_digests(self, now: int, sender: str, reply: Compared) -> list[Output]:
+        current = self.current_comparison(sender, reply.round, stamp_tuple(reply.stamp))
+        if current is None or reply.level != current[0].level:
             return []
-        round_, copy = found
-        told = {each.range: each.digest for each in answer.ranges}
-        if round_.level == 0:
-            round_.root = told.get(0, b"")
-        differing = tuple(copy.tree.differing(round_.level, told))
-        if not differing or not self.right(answer):
-            self.round = None
+        comparison, copy = current
+        digests = {each.range: each.digest for each in reply.ranges}
+        if comparison.level == 0:
+            comparison.root = digests.get(0, b"")
+        differing = tuple(copy.tree.differing_ranges(comparison.level, digests))
+        if not differing or not self.is_authoritative(reply):
+            self.comparison = None
             return []
         out: list[Output] = []
-        if round_.level == 0:
+        if comparison.level == 0:
             out.append(LogEvent(Event.COPIES_DIFFER, {"with": sender, "stamp": copy.stamp}))
-        round_.until = now + self.pace.patience_us
-        if round_.level < DEPTH:
-            round_.level += 1
-            return [*out, self.ask(round_, differing)]
-        round_.leaves = differing
-        return [*out, self.ask_rows(round_)]
-
-    def right(self, answer: Compared) -> bool:
+        comparison.expires_at = now + self.timing.reply_timeout_us
+        if comparison.level < DEPTH:
+            comparison.level += 1
+            return [*out, self.request_digests(comparison, differing)]
+        comparison.leaves = differing
+        return [*out, self.request_rows(comparison)]
+
+    def is_authoritative(self, reply: Compared) -> bool:
         """Both are as they were written: the one that is committed is right, or nobody knows."""
-        return answer.sound and answer.committed
-
-    def ask_rows(self, round_: Round) -> Send:
-        leaves = round_.leaves[round_.told : round_.told + BATCH]
-        asked = RowsAsked(round=round_.number, stamp=stamp(round_.at), leaves=leaves)
-        return Send(round_.other, ControlMessage(rows_asked=asked))
-
-    def rows_told(self, now: int, sender: str, told: RowsTold) -> list[Output]:
-        found = self.under_way(sender, told.round, point(told.stamp))
-        if found is None or not found[0].leaves:
+        return reply.sound and reply.committed
+
+    def request_rows(self, comparison: Comparison) -> Send:
+        leaves = comparison.leaves[
+            comparison.leaves_received : comparison.leaves_received + MAX_LEAVES_PER_REQUEST
+        ]
+        request = RowsAsked(round=comparison.number, stamp=stamp_message(comparison.stamp), leaves=leaves)
+        return Send(comparison.peer, ControlMessage(rows_asked=request))
+
+    def on_rows(self, now: int, sender: str, reply: RowsTold) -> list[Output]:
+        current = self.current_comparison(sender, reply.round, stamp_tuple(reply.stamp))
+        if current is None or not current[0].leaves:
             return []
-        round_, _ = found
-        if not told.whole:
-            self.round = None
+        comparison, _ = current
+        if not reply.whole:
+            self.comparison = None
             return []
-        round_.rows |= {row.key: row.value for row in told.rows}
-        round_.told += BATCH
-        round_.until = now + self.pace.patience_us
-        if round_.told < len(round_.leaves):
-            return [self.ask_rows(round_)]
-        self.round = None
-        return [Mend(round_.at, round_.leaves, round_.rows, round_.root)]
+        comparison.rows |= {row.key: row.value for row in reply.rows}
+        comparison.leaves_received += MAX_LEAVES_PER_REQUEST
+        comparison.expires_at = now + self.timing.reply_timeout_us
+        if comparison.leaves_received < len(comparison.leaves):
+            return [self.request_rows(comparison)]
+        self.comparison = None
+        return [RepairCopy(comparison.stamp, comparison.leaves, comparison.rows, comparison.root)]
 
     # -- answering -----------------------------------------------------------------------------
 
-    def answer(self, sender: str, asked: Compare) -> Send:
-        copy = self.look.copy
-        answer = Compared(round=asked.round, level=asked.level, sound=self.sound)
+    def digest_reply(self, sender: str, request: Compare) -> Send:
+        copy = self.status.copy
+        reply = Compared(round=request.round, level=request.level, sound=self.is_intact)
         if copy is not None:
-            answer.stamp.CopyFrom(stamp(copy.stamp))
-            answer.committed = self.look.leads and self.look.committed == copy.stamp
-            if copy.stamp == point(asked.stamp):
-                told = copy.tree.told(asked.level, asked.ranges[:LEAVES])
-                answer.ranges.extend(RangeDigest(range=n, digest=value) for n, value in told.items())
-        return Send(sender, ControlMessage(compared=answer))
-
-    def fetched(self, found: Fetched) -> list[Output]:
-        fetch, rows = found.fetch, found.rows
-        told = RowsTold(round=fetch.round, stamp=stamp(fetch.at), whole=rows is not None and self.sound)
-        if rows is not None and self.sound:
-            told.rows.extend(Row(key=key, value=value) for key, value in rows.items())
-        return [Send(fetch.to, ControlMessage(rows_told=told))]
+            reply.stamp.CopyFrom(stamp_message(copy.stamp))
+            reply.committed = self.status.is_leader and self.status.committed == copy.stamp
+            if copy.stamp == stamp_tuple(request.stamp):
+                digests = copy.tree.range_digests(request.level, request.ranges[:LEAVES])
+                reply.ranges.extend(RangeDigest(range=n, digest=value) for n, value in digests.items())
+        return Send(sender, ControlMessage(compared=reply))
+
+    def on_rows_fetched(self, fetched: RowsFetched) -> list[Output]:
+        request, rows = fetched.request, fetched.rows
+        reply = RowsTold(
+            round=request.round, stamp=stamp_message(request.stamp), whole=rows is not None and self.is_intact
+        )
+        if rows is not None and self.is_intact:
+            reply.rows.extend(Row(key=key, value=value) for key, value in rows.items())
+        return [Send(request.to, ControlMessage(rows_told=reply))]
--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -32,29 +32,37 @@
 from .election import Candidate
 from .messages import (
     Completed,
+    CopyRepaired,
     Input,
-    Mended,
     Output,
     Persisted,
     PersistentState,
     Received,
-    Retire,
     Send,
+    ShutDown,
     Submitted,
     Timing,
 )
 from .primary import Primary
-from .progress import Peers
-from .state import Point, at, first_record, first_state, last_order, place, voters
+from .progress import PeerTable
+from .state import (
+    StampTuple,
+    first_replica_set,
+    first_state,
+    last_evacuation_order,
+    replica_set_id,
+    state_stamp,
+    voters,
+)
 from .voter import Voter
-from .witness import Witness
+from .witness import Follower
 
 MAX_PEERS = 64
 
 __all__ = ["PersistentState", "Replica", "Timing"]
 
 
-class Replica(Witness):
+class Replica(Follower):
     """:param me: this machine's ip
     :param seeds: ips of the machines that it was told of at its start; at the very first start the members
     :param first_start: the system has never run
@@ -66,64 +74,68 @@
 
     def __init__(
         self,
-        me: str,
+        own_ip: str,
         zone: str,
         seeds: Sequence[str],
         first_start: bool,
-        kept: PersistentState | None,
+        stored: PersistentState | None,
         timing: Timing,
         rng: random.Random,
         now: int,
         losses: int = 1,
-        floor: PersistentState | None = None,
+        imported_state: PersistentState | None = None,
     ) -> None:
-        self.me = me
+        self.own_ip = own_ip
         self.seeds = tuple(seeds)
         self.timing = timing
         self.rng = rng
-        fresh = kept is None and first_start and floor is None
+        is_first_start = stored is None and first_start and imported_state is None
         self.losses = losses
-        self.peers = Peers(me, {me: zone})
-        found = kept or PersistentState(0, first_state(), record=first_record(seeds), copy=fresh)
-        if not found.record.members:  # a disk of the first format: all members held copies
-            found = replace(found, record=first_record(found.state.members))
-        memory = DurableState(timing, found, on_disk=kept is not None or not fresh)
+        self.peers = PeerTable(own_ip, {own_ip: zone})
+        contents = stored or PersistentState(
+            0, first_state(), replica_set=first_replica_set(seeds), has_copy=is_first_start
+        )
+        if not contents.replica_set.members:  # a disk of the first format: all members held copies
+            contents = replace(contents, replica_set=first_replica_set(contents.state.members))
+        durable = DurableState(timing, contents, on_disk=stored is not None or not is_first_start)
         self.recovery = (
-            None if kept is not None or fresh else AmnesiaRecovery(timing, me, seeds, rng, now, floor)
+            None
+            if stored is not None or is_first_start
+            else AmnesiaRecovery(timing, own_ip, seeds, rng, now, imported_state)
         )
-        self.remembering = False  # what was recalled is on its way to the disk
-        voter = Voter(timing, memory, now if fresh else now + timing.lease_us, now)
-        super().__init__(memory, voter, rng.randrange(1, 1 << 63), now)
+        self.persisting_recovery = False  # what was recalled is on its way to the disk
+        voter = Voter(timing, durable, now if is_first_start else now + timing.lease_duration_us, now)
+        super().__init__(durable, voter, rng.randrange(1, 1 << 63), now)
         self.candidate: Candidate | None = None
-        self.primary_work: Primary | None = None
-        self.due_at: int | None = None
-        self.tries = 0  # candidacies in a row that came to nothing
-        self.joined_at = now
-        self.retired = False
-        self.ran_at = now  # last
+        self.primary_role: Primary | None = None
+        self.election_due_at: int | None = None
+        self.failed_elections = 0  # candidacies in a row that came to nothing
+        self.last_join_at = now
+        self.shutting_down = False
+        self.last_run_at = now  # last
         if self.recovery:
-            self.note(Event.AMNESIAC)
+            self.log_event(Event.AMNESIAC)
 
     # -- what others may ask -------------------------------------------------------------------
 
-    def holds(self, now: int) -> bool:
+    def is_leader(self, now: int) -> bool:
         """Primary, active, its lease not over: it may read out, keep duties, answer."""
-        return self.primary_work is not None and self.primary_work.holds(now)
+        return self.primary_role is not None and self.primary_role.is_leader(now)
 
-    def in_force(self, now: int, told: Point | None = None) -> bool:
+    def is_in_force(self, now: int, published: StampTuple | None = None) -> bool:
         """Whether a majority stands behind what has that stamp, as of about a second ago.
 
         :param told: of what is told here; None: of `committed`.  Only what was committed is ever told.
         """
-        if self.primary_work is not None:
-            return self.primary_work.holds(now)
-        if self.agreed is None or now >= self.agreed[1] + self.timing.heard_us:
+        if self.primary_role is not None:
+            return self.primary_role.is_leader(now)
+        if self.reported_commit is None or now >= self.reported_commit[1] + self.timing.contact_timeout_us:
             return False
-        return self.agreed[0] <= (at(self._committed) if told is None else told)
+        return self.reported_commit[0] <= (state_stamp(self._committed) if published is None else published)
 
-    def stood_still(self, now: int) -> bool:
+    def was_paused(self, now: int) -> bool:
         """Whether what reaches this machine now may have waited while its process ran nothing."""
-        return now < self.sure_from or now >= self.ran_at + self.timing.stopped_us
+        return now < self.trusts_messages_from or now >= self.last_run_at + self.timing.pause_threshold_us
 
     @property
     def committed(self) -> ControlState:
@@ -131,314 +143,334 @@
         return self._committed
 
     @property
-    def held(self) -> ControlState | None:
+    def copy(self) -> ControlState | None:
         """This machine's copy, committed or not; None: it has none."""
-        return self.memory.state if self.memory.copy and not self.amnesiac else None
+        return self.durable.state if self.durable.has_copy and not self.is_amnesiac else None
 
     @property
     def epoch(self) -> int:
-        return self.primary_work.epoch if self.primary_work is not None else self.memory.promised
+        return self.primary_role.epoch if self.primary_role is not None else self.durable.voted_epoch
 
     @property
-    def primary(self) -> str:
+    def primary_ip(self) -> str:
         """The primary as far as is known; empty: unknown."""
-        return self.me if self.primary_work is not None else self.voter.lease_to
+        return self.own_ip if self.primary_role is not None else self.voter.leaseholder
 
     @property
-    def members(self) -> tuple[str, ...]:
+    def voters(self) -> tuple[str, ...]:
         """All who vote; while voters are being changed, those before and after."""
-        return tuple(sorted(voters(self.memory.record)))
+        return tuple(sorted(voters(self.durable.replica_set)))
 
     @property
-    def seated(self) -> bool:
+    def is_voter(self) -> bool:
         """It votes, as far as is known here."""
-        return self.me in voters(self.memory.record)
+        return self.own_ip in voters(self.durable.replica_set)
 
-    def needed(self, now: int) -> bool:
+    def is_needed(self, now: int) -> bool:
         """Whether another has to take over first what this machine does, and is up to do so: its epoch, its
         copy, its seat, or its vote in an election under way."""
         timing = self.timing
-        up = self.peers.heard_within(now, timing.lease_us + timing.heard_us)
+        up = self.peers.contacted_within(now, timing.lease_duration_us + timing.contact_timeout_us)
         if up <= self.peers.leaving:
             return False
-        led = self.primary in self.peers.heard_within(now, timing.heard_us)
-        if self.primary_work is not None or not led or self.me in self.memory.record.copies:
+        primary_is_up = self.primary_ip in self.peers.contacted_within(now, timing.contact_timeout_us)
+        if (
+            self.primary_role is not None
+            or not primary_is_up
+            or self.own_ip in self.durable.replica_set.copies
+        ):
             return True
-        return now < self.change_until
+        return now < self.reconfiguration_until
 
     @property
-    def amnesiac(self) -> bool:
+    def is_amnesiac(self) -> bool:
         return self.recovery is not None
 
-    def reseed(self, seeds: Sequence[str]) -> None:
+    def update_seeds(self, seeds: Sequence[str]) -> None:
         """The settings name other machines to ask."""
         self.seeds = tuple(seeds)
         if self.recovery is not None:
             self.recovery.seeds = self.seeds
 
-    def last_evacuation(self, zone: str) -> int:
+    def last_evacuation_order(self, zone: str) -> int:
         """Number of the zone's last order, as far as it has been taken here."""
-        return last_order(self.memory.state, zone)
+        return last_evacuation_order(self.durable.state, zone)
 
     # -- inputs --------------------------------------------------------------------------------
 
     def handle(self, now: int, event: Input) -> list[Output]:
-        if now >= self.ran_at + self.timing.stopped_us:
-            self.sure_from, self.agreed = now + self.timing.renew_us, None
-        self.ran_at = now
+        if now >= self.last_run_at + self.timing.pause_threshold_us:
+            self.trusts_messages_from, self.reported_commit = now + self.timing.renewal_interval_us, None
+        self.last_run_at = now
         if isinstance(event, Received):
-            self.meet(now, event.sender, event.zone, event.message)
-            self.message(now, event.sender, event.message)
+            self.record_contact(now, event.sender, event.zone, event.message)
+            self.dispatch(now, event.sender, event.message)
         elif isinstance(event, Persisted):
-            self.out += self.memory.saved(now, event.token, event.ok)
+            self.outputs += self.durable.on_persisted(now, event.token, event.synced)
         elif isinstance(event, Submitted):
-            self.submitted(now, event)
-        elif isinstance(event, Mended):
-            self.memory.mend(event.state)
-        elif isinstance(event, Retire):
-            self.retire(now)
+            self.on_submitted(now, event)
+        elif isinstance(event, CopyRepaired):
+            self.durable.repair_copy(event.state)
+        elif isinstance(event, ShutDown):
+            self.begin_shut_down(now)
         else:
             self.tick(now)
-        self.go_on(now)
-        out, self.out = self.out, []
+        self.advance(now)
+        out, self.outputs = self.outputs, []
         for one in out:
             if isinstance(one, Send):
-                one.message.life, one.message.leaving = self.life, self.retired
+                one.message.life, one.message.leaving = self.incarnation, self.shutting_down
         return out
 
-    def meet(self, now: int, sender: str, zone: str, message: ControlMessage) -> None:
+    def record_contact(self, now: int, sender: str, zone: str, message: ControlMessage) -> None:
         peers = self.peers
-        peers.zones[sender], peers.heard_at[sender] = zone, now
+        peers.zones[sender], peers.last_contact_at[sender] = zone, now
         (peers.leaving.add if message.leaving else peers.leaving.discard)(sender)
-        if peers.lives.get(sender) != message.life:
-            peers.lives[sender] = message.life
-            if self.primary_work is not None:
-                self.primary_work.reborn(sender)
+        if peers.incarnations.get(sender) != message.life:
+            peers.incarnations[sender] = message.life
+            if self.primary_role is not None:
+                self.primary_role.on_peer_restarted(sender)
         if self.recovery is not None:
-            self.recovery.meet(sender)
-        if len(peers.heard_at) > MAX_PEERS:
-            oldest = min(peers.heard_at, key=peers.heard_at.__getitem__)
-            del peers.heard_at[oldest], peers.zones[oldest], peers.lives[oldest]
+            self.recovery.on_contact(sender)
+        if len(peers.last_contact_at) > MAX_PEERS:
+            oldest = min(peers.last_contact_at, key=peers.last_contact_at.__getitem__)
+            del peers.last_contact_at[oldest], peers.zones[oldest], peers.incarnations[oldest]
             peers.leaving.discard(oldest)
 
-    def message(self, now: int, sender: str, message: ControlMessage) -> None:
+    def dispatch(self, now: int, sender: str, message: ControlMessage) -> None:
         match message.WhichOneof("kind"):
             case "ask":
-                self.asked(now, sender, message.ask)
+                self.on_vote_request(now, sender, message.ask)
             case "granted":
-                self.granted(sender, message.granted)
+                self.on_vote_reply(sender, message.granted)
             case "write":
-                self.write(now, sender, message.write)
+                self.on_write(now, sender, message.write)
             case "written":
-                self.written(now, sender, message.written)
+                self.on_write_reply(now, sender, message.written)
             case "renew":
-                self.renew(now, sender, message.renew)
+                self.on_lease_renewal(now, sender, message.renew)
             case "renewed":
-                self.renewed(now, sender, message.renewed)
+                self.on_renewal_reply(now, sender, message.renewed)
             case "recovery_request":
-                self.recovery_request(sender, message.recovery_request)
+                self.on_recovery_request(sender, message.recovery_request)
             case "recovery_reply" if self.recovery is not None:
-                self.recovery.heard(sender, message.recovery_reply)
+                self.recovery.on_reply(sender, message.recovery_reply)
             case "join":
-                self.join(now, message.join)
+                self.on_join(now, message.join)
             case "release":
-                self.released(now, sender, message.release)
+                self.on_leadership_transfer(now, sender, message.release)
             case "drop":
-                self.drop(sender, message.drop)
+                self.on_drop(sender, message.drop)
 
     def tick(self, now: int) -> None:
-        self.voter.tick(now)
-        if self.voter.lease_to:
-            self.tries = 0
-        primary, candidate = self.primary_work, self.candidate
+        self.voter.expire_lease(now)
+        if self.voter.leaseholder:
+            self.failed_elections = 0
+        primary, candidate = self.primary_role, self.candidate
         if primary is not None:
-            primary.progress.forget_learners(now)
-            if primary.gone(now):
+            primary.progress.expire_learners(now)
+            if primary.has_lost_lease(now):
                 self.step_down("its lease ran out")
-            elif primary.renewal_due(now):
-                self.out += primary.renew(now)
+            elif primary.is_renewal_due(now):
+                self.outputs += primary.renew(now)
         elif candidate is not None:
-            if candidate.over(now):
-                self.candidate, self.due_at = None, None
-                self.tries = self.tries + 1 if candidate.unheard else 0
+            if candidate.timed_out(now):
+                self.candidate, self.election_due_at = None, None
+                self.failed_elections = self.failed_elections + 1 if candidate.unanswered else 0
         elif self.recovery is not None:
-            self.out += self.recovery.tick(now)
-        elif not self.seated:
-            self.ask_to_join(now)
+            self.outputs += self.recovery.tick(now)
+        elif not self.is_voter:
+            self.request_to_join(now)
         else:
-            self.consider(now)
+            self.consider_election(now)
 
-    def go_on(self, now: int) -> None:
+    def advance(self, now: int) -> None:
         """Whatever the input has made possible."""
-        self.remember(now)
+        self.finish_recovery(now)
         if self.candidate is not None:
-            self.campaign(now, self.candidate)
-        if self.primary_work is not None:
-            self.lead(now, self.primary_work)
-        self.out += self.memory.work(now)
+            self.run_election(now, self.candidate)
+        if self.primary_role is not None:
+            self.act_as_primary(now, self.primary_role)
+        self.outputs += self.durable.persist_changes(now)
 
     # -- what it does on another's word: `Witness` ---------------------------------------------
 
-    def wait(self, now: int, candidate: str, released: int = 0) -> int:
+    def vote_delay(self, now: int, candidate: str, released_epoch: int = 0) -> int:
         """For how long (us) this voter promises that candidate nothing."""
-        wait = self.voter.wait(now, candidate, released)
-        if self.primary_work is not None:
-            wait = max(wait, self.primary_work.reconfiguration.lease_until(now) - now)
-        return wait
+        delay = self.voter.vote_delay(now, candidate, released_epoch)
+        if self.primary_role is not None:
+            delay = max(delay, self.primary_role.reconfiguration.lease_expires_at(now) - now)
+        return delay
 
-    def stand_back(self, why: str) -> None:
-        self.step_down(why)
-        self.candidate, self.due_at = None, None
+    def give_up_leadership(self, reason: str) -> None:
+        self.step_down(reason)
+        self.candidate, self.election_due_at = None, None
 
     # -- as a candidate ------------------------------------------------------------------------
 
-    def consider(self, now: int) -> None:
+    def consider_election(self, now: int) -> None:
         """Nobody leads: a random pause, then a candidacy, where there is a copy to go on from."""
-        if not self.memory.copy:
+        if not self.durable.has_copy:
             return
-        if self.wait(now, self.me) or self.voter.patience(now, self.me):
-            self.due_at = None
-        elif self.due_at is None:
+        if self.vote_delay(now, self.own_ip) or self.voter.election_back_off(now, self.own_ip):
+            self.election_due_at = None
+        elif self.election_due_at is None:
             # Danger: all copies may be on machines that are about to end; then one of these leads once more.
-            behind = self.timing.leaving_pause_us if self.retired else 0
-            self.due_at = now + behind + self.rng.randrange(self.timing.pause_us)
-        elif now >= self.due_at:
-            self.candidate = Candidate(self.timing, self.memory, self.me, self.tries, now)
-            self.out += self.candidate.probe()
+            behind = self.timing.leaving_election_delay_us if self.shutting_down else 0
+            self.election_due_at = now + behind + self.rng.randrange(self.timing.election_jitter_us)
+        elif now >= self.election_due_at:
+            self.candidate = Candidate(self.timing, self.durable, self.own_ip, self.failed_elections, now)
+            self.outputs += self.candidate.request_pre_votes()
 
-    def granted(self, sender: str, answer: VoteReply) -> None:
+    def on_vote_reply(self, sender: str, reply: VoteReply) -> None:
         if self.candidate is not None:
-            self.out += self.candidate.heard(sender, answer)
+            self.outputs += self.candidate.on_reply(sender, reply)
 
-    def campaign(self, now: int, candidate: Candidate) -> None:
-        if candidate.may_ask() and not self.wait(now, self.me):
-            candidate.choose(now)
-        self.out += candidate.synced(now)
-        if candidate.over(now) or not candidate.elected():
+    def run_election(self, now: int, candidate: Candidate) -> None:
+        if candidate.may_request_votes() and not self.vote_delay(now, self.own_ip):
+            candidate.choose_epoch(now)
+        self.outputs += candidate.request_votes_when_synced(now)
+        if candidate.timed_out(now) or not candidate.is_elected():
             return
         self.candidate = None
-        self.lead_from(now, candidate.epoch, candidate.best(candidate.granted))
+        self.become_primary(now, candidate.epoch, candidate.newest_replica_set(candidate.votes))
 
-    def lead_from(self, now: int, epoch: int, found: ReplicaSet) -> None:
+    def become_primary(self, now: int, epoch: int, replica_set: ReplicaSet) -> None:
         first_round = self.rng.randrange(1 << 32)
-        primary = self.primary_work = Primary(
-            self.timing, self.memory, self.peers, epoch, found, self.losses, first_round, now
+        primary = self.primary_role = Primary(
+            self.timing, self.durable, self.peers, epoch, replica_set, self.losses, first_round, now
         )
-        self.voter.lease_to, self.due_at = "", None
-        self.note(Event.PRIMARY, epoch=epoch)
+        self.voter.leaseholder, self.election_due_at = "", None
+        self.log_event(Event.PRIMARY, epoch=epoch)
         # What was found may be on too few disks: it is written again under this epoch, and a record names
         # who has it, before anything is answered.
-        self.out += primary.write(now, self.memory.state)
-        self.out += primary.renew(now)
+        self.outputs += primary.write(now, self.durable.state)
+        self.outputs += primary.renew(now)
 
     # -- as the primary ------------------------------------------------------------------------
 
-    def lead(self, now: int, primary: Primary) -> None:
-        self.out += primary.settle(now)
+    def act_as_primary(self, now: int, primary: Primary) -> None:
+        self.outputs += primary.advance(now)
         if primary.committed is not None:
-            self.commit(primary.committed)
-        heir = primary.best_heir(now) if self.retired else primary.heir(now)
-        if heir:
-            self.hand_over(now, heir, "it hands over" if self.retired else "its disk is late")
+            self.advance_commit(primary.committed)
+        successor = primary.successor(now) if self.shutting_down else primary.successor_for_late_disk(now)
+        if successor:
+            self.transfer_leadership(
+                now, successor, "it hands over" if self.shutting_down else "its disk is late"
+            )
 
-    def hand_over(self, now: int, heir: str, why: str) -> None:
+    def transfer_leadership(self, now: int, successor: str, reason: str) -> None:
         """Danger: it leads no more before it says so."""
-        assert self.primary_work is not None
-        epoch = self.primary_work.epoch
-        self.step_down(why)
-        self.voter.kind(now, heir)
-        self.out.append(Send(heir, ControlMessage(release=LeadershipTransfer(epoch=epoch))))
+        assert self.primary_role is not None
+        epoch = self.primary_role.epoch
+        self.step_down(reason)
+        self.voter.defer_to(now, successor)
+        self.outputs.append(Send(successor, ControlMessage(release=LeadershipTransfer(epoch=epoch))))
 
-    def released(self, now: int, sender: str, release: LeadershipTransfer) -> None:
+    def on_leadership_transfer(self, now: int, sender: str, transfer: LeadershipTransfer) -> None:
         """The primary has handed over to this machine, which stands at once."""
-        memory = self.memory
-        named = release.epoch == memory.promised and memory.owner == sender
-        if not named or not memory.copy or self.amnesiac or self.retired or self.primary_work is not None:
+        durable = self.durable
+        named = transfer.epoch == durable.voted_epoch and durable.voted_for == sender
+        if (
+            not named
+            or not durable.has_copy
+            or self.is_amnesiac
+            or self.shutting_down
+            or self.primary_role is not None
+        ):
             return
-        self.voter.lease_to = ""
-        self.candidate = Candidate(self.timing, memory, self.me, self.tries, now, release.epoch)
-        self.candidate.choose(now)
+        self.voter.leaseholder = ""
+        self.candidate = Candidate(
+            self.timing, durable, self.own_ip, self.failed_elections, now, transfer.epoch
+        )
+        self.candidate.choose_epoch(now)
 
-    def retire(self, now: int) -> None:
+    def begin_shut_down(self, now: int) -> None:
         """The process is about to end: it stands no more, hands over if it leads, is replaced as a copy and
         as a voter.  Without an heir it leads until there is one."""
-        self.retired, self.candidate = True, None
-        if self.primary_work is not None:
-            heir = self.primary_work.best_heir(now)
-            if heir:
-                self.hand_over(now, heir, "it hands over")
-        elif self.voter.lease_to:
-            self.out.append(Send(self.voter.lease_to, ControlMessage()))
-
-    def step_down(self, why: str) -> None:
-        primary, self.primary_work = self.primary_work, None
+        self.shutting_down, self.candidate = True, None
+        if self.primary_role is not None:
+            successor = self.primary_role.successor(now)
+            if successor:
+                self.transfer_leadership(now, successor, "it hands over")
+        elif self.voter.leaseholder:
+            self.outputs.append(Send(self.voter.leaseholder, ControlMessage()))
+
+    def step_down(self, reason: str) -> None:
+        primary, self.primary_role = self.primary_role, None
         if primary is not None:
-            self.out += primary.give_up()
-            self.due_at = None
-            self.note(Event.PRIMARY_NO_MORE, epoch=primary.epoch, why=why)
+            self.outputs += primary.fail_pending_orders()
+            self.election_due_at = None
+            self.log_event(Event.PRIMARY_NO_MORE, epoch=primary.epoch, why=reason)
 
-    def written(self, now: int, sender: str, answer: WriteReply) -> None:
-        if self.primary_work is not None:
-            self.out += self.primary_work.written(now, sender, answer)
-            self.outbid(now, self.primary_work, answer.promised)
+    def on_write_reply(self, now: int, sender: str, reply: WriteReply) -> None:
+        if self.primary_role is not None:
+            self.outputs += self.primary_role.on_write_reply(now, sender, reply)
+            self.on_higher_epoch(now, self.primary_role, reply.promised)
 
-    def renewed(self, now: int, sender: str, answer: LeaseRenewalReply) -> None:
-        if self.primary_work is not None:
-            self.primary_work.renewed(sender, answer)
-            self.outbid(now, self.primary_work, answer.promised)
+    def on_renewal_reply(self, now: int, sender: str, reply: LeaseRenewalReply) -> None:
+        if self.primary_role is not None:
+            self.primary_role.on_renewal_reply(sender, reply)
+            self.on_higher_epoch(now, self.primary_role, reply.promised)
 
-    def outbid(self, now: int, primary: Primary, promised: int) -> None:
+    def on_higher_epoch(self, now: int, primary: Primary, voted_epoch: int) -> None:
         """A member promised a later epoch that came to nothing: it follows again only under one later
         still."""
-        if promised <= primary.epoch:
+        if voted_epoch <= primary.epoch:
             return
-        led = primary.leads(now)
+        was_leader = primary.has_valid_lease(now)
         self.step_down("a member promised a later epoch")
-        if led:
-            self.candidate = Candidate(self.timing, self.memory, self.me, self.tries, now)
-            self.candidate.highest = promised
-            self.candidate.choose(now)
-
-    def submitted(self, now: int, asked: Submitted) -> None:
-        if self.primary_work is not None:
-            self.out += self.primary_work.submit(now, asked)
+        if was_leader:
+            self.candidate = Candidate(self.timing, self.durable, self.own_ip, self.failed_elections, now)
+            self.candidate.highest_epoch_seen = voted_epoch
+            self.candidate.choose_epoch(now)
+
+    def on_submitted(self, now: int, submitted: Submitted) -> None:
+        if self.primary_role is not None:
+            self.outputs += self.primary_role.submit(now, submitted)
         else:
-            self.out.append(
-                Completed(asked.number, Failure(Fault(Kind.NOT_SETTLED, "this machine is not the primary")))
+            self.outputs.append(
+                Completed(
+                    submitted.order_id, Failure(Fault(Kind.NOT_SETTLED, "this machine is not the primary"))
+                )
             )
 
     # -- joining, remembering ------------------------------------------------------------------
 
-    def join(self, now: int, join: Join) -> None:
-        if self.primary_work is not None:
-            self.out += self.primary_work.join(now, join.ip)
-        elif self.voter.lease_to and self.voter.lease_to != join.ip:
-            self.out.append(Send(self.voter.lease_to, ControlMessage(join=join)))
-
-    def ask_to_join(self, now: int) -> None:
-        if not self.retired and now >= self.joined_at + self.timing.join_us:
-            self.joined_at = now
-            message = ControlMessage(join=Join(ip=self.me))
-            self.out += [Send(ip, message) for ip in sorted({*self.seeds, *self.members} - {self.me})]
-
-    def recovery_request(self, sender: str, recovery_request: RecoveryRequest) -> None:
-        answer = RecoveryReply(round=recovery_request.round, amnesiac=self.amnesiac)
-        if not self.amnesiac:
-            answer.promised, answer.owner = self.memory.promised, self.memory.owner
-            answer.record.CopyFrom(self.memory.record)
-        elif self.recovery is not None and self.recovery.floor is not None:
-            answer.floor.CopyFrom(self.recovery.floor.state)
-        self.out.append(Send(sender, ControlMessage(recovery_reply=answer)))
-
-    def remember(self, now: int) -> None:
+    def on_join(self, now: int, join: Join) -> None:
+        if self.primary_role is not None:
+            self.outputs += self.primary_role.on_join(now, join.ip)
+        elif self.voter.leaseholder and self.voter.leaseholder != join.ip:
+            self.outputs.append(Send(self.voter.leaseholder, ControlMessage(join=join)))
+
+    def request_to_join(self, now: int) -> None:
+        if not self.shutting_down and now >= self.last_join_at + self.timing.join_interval_us:
+            self.last_join_at = now
+            message = ControlMessage(join=Join(ip=self.own_ip))
+            self.outputs += [Send(ip, message) for ip in sorted({*self.seeds, *self.voters} - {self.own_ip})]
+
+    def on_recovery_request(self, sender: str, request: RecoveryRequest) -> None:
+        reply = RecoveryReply(round=request.round, amnesiac=self.is_amnesiac)
+        if not self.is_amnesiac:
+            reply.promised, reply.owner = self.durable.voted_epoch, self.durable.voted_for
+            reply.record.CopyFrom(self.durable.replica_set)
+        elif self.recovery is not None and self.recovery.imported_state is not None:
+            reply.floor.CopyFrom(self.recovery.imported_state.state)
+        self.outputs.append(Send(sender, ControlMessage(recovery_reply=reply)))
+
+    def finish_recovery(self, now: int) -> None:
         """What was recalled is synced first; only then does this machine vote and hold again."""
         if self.recovery is None:
             return
-        if not self.remembering:
-            kept = self.recovery.done(now)
-            if kept is not None:
-                self.remembering = True
-                self.memory.take(kept)
-        elif self.memory.synced == self.memory.number:
+        if not self.persisting_recovery:
+            recovered = self.recovery.recovered_state(now)
+            if recovered is not None:
+                self.persisting_recovery = True
+                self.durable.restore(recovered)
+        elif self.durable.synced_revision == self.durable.revision:
             self.recovery = None
-            self.note(Event.RECOVERED, promised=self.memory.promised, record=place(self.memory.record))
+            self.log_event(
+                Event.RECOVERED,
+                promised=self.durable.voted_epoch,
+                record=replica_set_id(self.durable.replica_set),
+            )
--- a/vetchusher/control/restore.py
+++ b/vetchusher/control/restore.py
@@ -7,12 +7,12 @@
 from vetchusher.distribution.wire_pb2 import ControlState
 
 from .messages import PersistentState
-from .state import at, changed, first_record
+from .state import copy_state, first_replica_set, state_stamp
 
-LEAP = 1 << 20  # epochs: more than are ever begun after an export and before its import
+EPOCH_LEAP = 1 << 20  # epochs: more than are ever begun after an export and before its import
 
 
-def floor_of(kept: PersistentState, seconds: int) -> PersistentState:
+def imported_state_of(exported: PersistentState, seconds: int) -> PersistentState:
     """The same state under an epoch above all that any process may have seen.
 
     Danger: ingresses take nothing under a stamp below one that they know.  Epochs grow by one at each
@@ -21,14 +21,16 @@
 
     :param seconds: of the time of day, since 1970
     """
-    epoch = max(kept.promised + LEAP, kept.state.stamp.epoch + LEAP, seconds)
-    state = changed(kept.state, stamped=(epoch, 0))
+    epoch = max(exported.voted_epoch + EPOCH_LEAP, exported.state.stamp.epoch + EPOCH_LEAP, seconds)
+    state = copy_state(exported.state, stamped=(epoch, 0))
     return PersistentState(epoch, state)
 
 
-def begun_from(floors: Sequence[ControlState], members: Sequence[str]) -> PersistentState | None:
+def bootstrap_state(
+    imported_states: Sequence[ControlState], members: Sequence[str]
+) -> PersistentState | None:
     """What all machines that have forgotten begin from, once each has told its floor; the same at each."""
-    if not floors:
+    if not imported_states:
         return None
-    best = max(floors, key=at)
-    return PersistentState(best.stamp.epoch, best, record=first_record(members))
+    best = max(imported_states, key=state_stamp)
+    return PersistentState(best.stamp.epoch, best, replica_set=first_replica_set(members))
--- a/vetchusher/control/seats.py
+++ b/vetchusher/control/seats.py
@@ -10,11 +10,11 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-SMALLEST_SET = 3  # voters that bear the loss of one
+MIN_VOTERS = 3  # voters that bear the loss of one
 
 
 @dataclass(slots=True, frozen=True)
-class Roster:
+class MembershipView:
     """What the target is worked out from.
 
     :param members: the voters of today
@@ -27,83 +27,83 @@
     """
 
     members: Sequence[str]
-    gone: Sequence[str]
-    gone_for_long: Sequence[str]
-    spares: Sequence[str]
+    unavailable: Sequence[str]
+    long_unavailable: Sequence[str]
+    ready_learners: Sequence[str]
     primary: str
-    keep: frozenset[str]
+    protected: frozenset[str]
     zones: Mapping[str, str]
 
 
-def size_for(losses: int) -> int:
+def voters_for(losses: int) -> int:
     """Voters of which so many may be lost while a majority is left."""
-    return max(2 * losses + 1, SMALLEST_SET)
+    return max(2 * losses + 1, MIN_VOTERS)
 
 
-def next_members(roster: Roster, size: int) -> list[str]:
+def next_members(view: MembershipView, size: int) -> list[str]:
     """The voters that there should be; the very members where nothing is to be changed.
 
     :param size: voters that there should be at most after growing
     """
-    members, spares = list(roster.members), list(roster.spares)
-    _replace_gone(members, spares, roster)
-    _grow(members, spares, size)
-    _make_odd(members, roster)
-    _spread(members, spares, roster)
-    if set(members) == set(roster.members):
-        _leave_out(members, roster)
+    members, learners = list(view.members), list(view.ready_learners)
+    _replace_unavailable(members, learners, view)
+    _grow(members, learners, size)
+    _make_odd(members, view)
+    _spread_over_zones(members, learners, view)
+    if set(members) == set(view.members):
+        _remove_long_unavailable(members, view)
     return members
 
 
-def _replace_gone(members: list[str], spares: list[str], roster: Roster) -> None:
-    for ip in roster.gone:
-        if not spares:
+def _replace_unavailable(members: list[str], learners: list[str], view: MembershipView) -> None:
+    for ip in view.unavailable:
+        if not learners:
             return
-        zone = roster.zones.get(ip)
-        successor = next((spare for spare in spares if roster.zones.get(spare) == zone), spares[0])
-        _give_seat(members, spares, ip, successor)
+        zone = view.zones.get(ip)
+        successor = next((learner for learner in learners if view.zones.get(learner) == zone), learners[0])
+        _replace_voter(members, learners, ip, successor)
 
 
-def _give_seat(members: list[str], spares: list[str], ip: str, successor: str) -> None:
-    spares.remove(successor)
+def _replace_voter(members: list[str], learners: list[str], ip: str, successor: str) -> None:
+    learners.remove(successor)
     members[members.index(ip)] = successor
 
 
-def _grow(members: list[str], spares: list[str], size: int) -> None:
-    more = min(len(spares), size - len(members))
+def _grow(members: list[str], learners: list[str], size: int) -> None:
+    more = min(len(learners), size - len(members))
     if (len(members) + more) % 2 == 0:
         more -= 1
     if more > 0:
-        members += spares[:more]
-        del spares[:more]
+        members += learners[:more]
+        del learners[:more]
 
 
-def _spread(members: list[str], spares: list[str], roster: Roster) -> None:
+def _spread_over_zones(members: list[str], learners: list[str], view: MembershipView) -> None:
     """Voters in more than one zone, where that can be: a zone may be lost with all disks in it."""
-    zones = {roster.zones.get(ip) for ip in members}
-    elsewhere = [ip for ip in spares if roster.zones.get(ip) not in zones]
+    zones = {view.zones.get(ip) for ip in members}
+    elsewhere = [ip for ip in learners if view.zones.get(ip) not in zones]
     if len(members) < 2 or len(zones) > 1 or not elsewhere:
         return
-    movable = [ip for ip in members if ip not in roster.keep] or [
-        ip for ip in members if ip != roster.primary
+    movable = [ip for ip in members if ip not in view.protected] or [
+        ip for ip in members if ip != view.primary
     ]
-    _give_seat(members, spares, movable[-1], elsewhere[0])
+    _replace_voter(members, learners, movable[-1], elsewhere[0])
 
 
-def _make_odd(members: list[str], roster: Roster) -> None:
+def _make_odd(members: list[str], view: MembershipView) -> None:
     """A set that an earlier release made even."""
-    if len(members) % 2 or len(members) <= SMALLEST_SET:
+    if len(members) % 2 or len(members) <= MIN_VOTERS:
         return
-    gone = [ip for ip in roster.gone if ip in members]
-    spared = [ip for ip in members if ip not in roster.keep]
-    for ip in [*gone, *reversed(spared)][:1]:
+    unavailable = [ip for ip in view.unavailable if ip in members]
+    unprotected = [ip for ip in members if ip not in view.protected]
+    for ip in [*unavailable, *reversed(unprotected)][:1]:
         members.remove(ip)
 
 
-def _leave_out(members: list[str], roster: Roster) -> None:
+def _remove_long_unavailable(members: list[str], view: MembershipView) -> None:
     """Two at a time, once those who are left could not bear one more loss otherwise."""
-    lost = [ip for ip in roster.gone_for_long if ip in members]
-    while len(members) > SMALLEST_SET and len(lost) >= 2:
+    lost = [ip for ip in view.long_unavailable if ip in members]
+    while len(members) > MIN_VOTERS and len(lost) >= 2:
         if len(members) - len(lost) > len(members) // 2 + 1:
             return
         for ip in lost[:2]:
--- a/vetchusher/control/voter.py
+++ b/vetchusher/control/voter.py
@@ -14,43 +14,43 @@
     epoch a majority has left since.
     """
 
-    def __init__(self, timing: Timing, memory: DurableState, silent_until: int, now: int) -> None:
+    def __init__(self, timing: Timing, durable: DurableState, no_votes_until: int, now: int) -> None:
         self.timing = timing
-        self.memory = memory
+        self.durable = durable
         # Danger: the process before this one may have given a lease a moment ago.
-        self.silent_until = silent_until
-        self.lease_to = ""
-        self.lease_until = now
-        self.kind_to = ""
-        self.kind_until = now  # another candidate was promised something: let it be
+        self.no_votes_until = no_votes_until
+        self.leaseholder = ""
+        self.lease_expires_at = now
+        self.deferred_to = ""
+        self.deferred_until = now  # another candidate was promised something: let it be
 
-    def wait(self, now: int, candidate: str, released: int = 0) -> int:
+    def vote_delay(self, now: int, candidate: str, released: int = 0) -> int:
         """For how long (us) it promises that candidate nothing.
 
         :param released: the primary of that epoch has given its lease up
         """
         # Danger: the lease that runs here is of the epoch promised, or of an earlier one: of no later.
-        if released and released >= self.memory.promised:
+        if released and released >= self.durable.voted_epoch:
             return 0
-        wait = 0 if self.owned_by(candidate) else self.silent_until - now
-        if self.lease_to != candidate:
-            wait = max(wait, self.lease_until - now)
-        return max(0, wait)
+        delay = 0 if self.has_voted_for(candidate) else self.no_votes_until - now
+        if self.leaseholder != candidate:
+            delay = max(delay, self.lease_expires_at - now)
+        return max(0, delay)
 
-    def owned_by(self, candidate: str) -> bool:
-        return bool(self.memory.promised) and self.memory.owner == candidate
+    def has_voted_for(self, candidate: str) -> bool:
+        return bool(self.durable.voted_epoch) and self.durable.voted_for == candidate
 
-    def patience(self, now: int, candidate: str) -> int:
+    def election_back_off(self, now: int, candidate: str) -> int:
         """How long another candidate is let be, if this is not the one."""
-        return max(0, self.kind_until - now) if self.kind_to != candidate else 0
+        return max(0, self.deferred_until - now) if self.deferred_to != candidate else 0
 
-    def kind(self, now: int, candidate: str) -> None:
-        self.lease_to = ""
-        self.kind_to, self.kind_until = candidate, now + self.timing.candidate_backoff_us
+    def defer_to(self, now: int, candidate: str) -> None:
+        self.leaseholder = ""
+        self.deferred_to, self.deferred_until = candidate, now + self.timing.election_back_off_us
 
-    def lease(self, now: int, primary: str) -> None:
-        self.lease_to, self.lease_until = primary, now + self.timing.lease_us
+    def grant_lease(self, now: int, primary: str) -> None:
+        self.leaseholder, self.lease_expires_at = primary, now + self.timing.lease_duration_us
 
-    def tick(self, now: int) -> None:
-        if self.lease_to and now >= self.lease_until:
-            self.lease_to = ""
+    def expire_lease(self, now: int) -> None:
+        if self.leaseholder and now >= self.lease_expires_at:
+            self.leaseholder = ""
--- a/vetchusher/emulator/control/cases.py
+++ b/vetchusher/emulator/control/cases.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from vetchusher.control import Replace, SetEvacuation, Timing
+from vetchusher.control import EvacuationOrder, ReplaceOrder, Timing
 from vetchusher.emulator.explorer import TIME
 
 from .encoding_cases import UNIT, Cell, Cells
@@ -159,7 +159,7 @@
 
 def alone() -> State:
     """The primary is cut off both ways, its lease nearly over; the third asks without a pause."""
-    state = settled(replace(TIMING, pause_us=2 * UNIT))
+    state = settled(replace(TIMING, election_jitter_us=2 * UNIT))
     for ip in "23":
         state = step(step(state, f"{ip} to 1 cut"), f"1 to {ip} cut")
     return step(step(state, TIME), TIME)
@@ -180,8 +180,8 @@
     """Both operators order evacuations."""
     state = settled()
     state.operators = (
-        Operator(SetEvacuation("north", True)),
-        Operator(SetEvacuation("south", True)),
+        Operator(EvacuationOrder("north", True)),
+        Operator(EvacuationOrder("south", True)),
     )
     return step(step(state, "order 1 to 1"), "order 2 to 1")
 
@@ -190,7 +190,7 @@
     """Two bodies under one number are on their way, and one of them is sent twice."""
     state = settled()
     bodies = (b"r2", b"r2, another", b"r2")
-    state.operators = tuple(Operator(Replace(2, body)) for body in bodies)
+    state.operators = tuple(Operator(ReplaceOrder(2, body)) for body in bodies)
     for place in (1, 2):
         state = step(state, f"order {place} to 1")
     return state
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from vetchusher.control import Persist
-from vetchusher.control.state import START, Point, at
+from vetchusher.control.state import ZERO_STAMP, StampTuple, state_stamp
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.fleet_world import MS, SECOND
 
@@ -182,7 +182,7 @@
         """For how long one other machine may hold up a change."""
         timing = self.world.scene.timing
         whole = len(configuration_body(self.wanted, self.world.scene.body_rows))
-        return timing.other_zone_us + whole + ANSWER_US
+        return timing.other_zone_timeout_us + whole + ANSWER_US
 
     # -- the operator --------------------------------------------------------------------------
 
@@ -250,7 +250,7 @@
         world.disk_well(ip)
         world.join(ip)
         if world.machines[ip].member is None:
-            world.machines[ip].told = (START, 0)  # a process that starts has told nothing yet
+            world.machines[ip].told = (ZERO_STAMP, 0)  # a process that starts has told nothing yet
             world.start(ip)
         elif world.machines[ip].frozen:
             world.thaw(ip)
@@ -275,9 +275,9 @@
     def taught(self, ip: str) -> bool:
         """Whether a primary that leads wants a copy there."""
         for machine in self.world.machines.values():
-            work = machine.member.primary_work if machine.member is not None else None
+            work = machine.member.primary_role if machine.member is not None else None
             if work is not None and self.world.holds(machine.ip):
-                return machine.ip == ip or ip in work.taught(machine.now(self.world.at))
+                return machine.ip == ip or ip in work.replication_targets(machine.now(self.world.at))
         return True
 
     # -- what was measured ---------------------------------------------------------------------
@@ -295,18 +295,24 @@
         return max(remembered(machine) for machine in self.world.machines.values())
 
 
-def copied(machine: Machine) -> Point:
-    return at(machine.disk.state) if machine.disk is not None and machine.disk.copy else START
+def copied(machine: Machine) -> StampTuple:
+    return (
+        state_stamp(machine.disk.state) if machine.disk is not None and machine.disk.has_copy else ZERO_STAMP
+    )
 
 
 def remembered(machine: Machine) -> int:
     member = machine.member
     if member is None:
         return 0
-    count = len(member.memory.waiting) + len(member.peers.heard_at) + len(member.peers.lives)
-    work = member.primary_work
+    count = (
+        len(member.durable.pending_messages)
+        + len(member.peers.last_contact_at)
+        + len(member.peers.incarnations)
+    )
+    work = member.primary_role
     if work is not None:
         progress = work.progress
-        count += len(progress.rounds) + len(progress.members) + len(progress.learners)
-        count += len(work.waiting) + len(work.writing) + len(work.reading)
+        count += len(progress.round_sent_at) + len(progress.members) + len(progress.learners)
+        count += len(work.pending_changes) + len(work.orders_in_write) + len(work.pending_reads)
     return count
--- a/vetchusher/emulator/control/closure.py
+++ b/vetchusher/emulator/control/closure.py
@@ -12,7 +12,7 @@
 from itertools import combinations
 
 from vetchusher.control import PersistentState
-from vetchusher.control.state import Point, at, has_quorum, newest, place
+from vetchusher.control.state import StampTuple, has_quorum, newest_replica_set, replica_set_id, state_stamp
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     spent: frozenset[str]
     catching_up: frozenset[str]
     tolerated: int
-    committed: Point
+    committed: StampTuple
 
 
 def further_losses(moment: Moment) -> Iterator[frozenset[str]]:
@@ -49,14 +49,17 @@
     return None
 
 
-def what_fails(disks: Mapping[str, PersistentState], committed: Point) -> str | None:
+def what_fails(disks: Mapping[str, PersistentState], committed: StampTuple) -> str | None:
     """What keeps these machines from going on by themselves; None: nothing does."""
     if not disks:
         return "nobody is left"
-    record = newest(disk.record for disk in disks.values())
+    record = newest_replica_set(disk.replica_set for disk in disks.values())
     if not has_quorum(record, disks):
-        return f"{', '.join(sorted(disks))} are no majority of {place(record)}: {', '.join(record.members)}"
+        found, members = ", ".join(sorted(disks)), ", ".join(record.members)
+        return f"{found} are no majority of {replica_set_id(record)}: {members}"
     heirs = [
-        ip for ip in record.copies if ip in disks and disks[ip].copy and at(disks[ip].state) >= committed
+        ip
+        for ip in record.copies
+        if ip in disks and disks[ip].has_copy and state_stamp(disks[ip].state) >= committed
     ]
     return None if heirs else f"no copy of {committed} is left of {', '.join(record.copies)}"
--- a/vetchusher/emulator/control/encoding_cases.py
+++ b/vetchusher/emulator/control/encoding_cases.py
@@ -27,13 +27,13 @@
     Persist,
     PersistentState,
     Replica,
-    Retrieve,
+    RetrieveOrder,
     Submitted,
     Tick,
     Timing,
 )
-from vetchusher.control.state import START, Point
-from vetchusher.control.state import at as at_
+from vetchusher.control.state import ZERO_STAMP, StampTuple
+from vetchusher.control.state import state_stamp as at_
 
 UNIT: Final = 500_000  # us; a step of the clock
 ATOMS = (int, str, bytes, bool, float, type(None))
@@ -152,7 +152,7 @@
     saving: Persist | None = None
     stopped: bool = False
     slow: int = 0
-    told: tuple[Point, int] = (START, 0)
+    told: tuple[StampTuple, int] = (ZERO_STAMP, 0)
     key: bytes = b""
 
     @property
@@ -209,14 +209,16 @@
 
     def down(self, cell: Cell, landed: bool = False, wiped: bool = False) -> Cell:
         """:param landed: the save under way is on the disk"""
-        disk = cell.saving.kept if landed and cell.saving is not None else cell.disk
+        disk = cell.saving.contents if landed and cell.saving is not None else cell.disk
         disk = None if wiped else disk
-        return self.keep(replace(cell, member=None, saving=None, stopped=False, told=(START, 0), disk=disk))
+        return self.keep(
+            replace(cell, member=None, saving=None, stopped=False, told=(ZERO_STAMP, 0), disk=disk)
+        )
 
     def synced(self, cell: Cell, ok: bool) -> Cell:
         """The save under way has ended; the member is not told here."""
         assert cell.saving is not None
-        return self.keep(replace(cell, saving=None, disk=cell.saving.kept if ok else cell.disk))
+        return self.keep(replace(cell, saving=None, disk=cell.saving.contents if ok else cell.disk))
 
     def give(self, cell: Cell, at: int, event: Input, name: Hashable) -> tuple[Cell, tuple[Output, ...]]:
         """:param name: the same for equal inputs"""
@@ -250,16 +252,16 @@
     def looked(self, cell: Cell, now: int) -> Look:
         member = cell.member
         assert member is not None
-        holds, body = member.holds(now), None
-        if member.primary == cell.ip and not cell.stopped:
-            out = clone(member).handle(now, Submitted(READING, Retrieve()))
+        holds, body = member.is_leader(now), None
+        if member.primary_ip == cell.ip and not cell.stopped:
+            out = clone(member).handle(now, Submitted(READING, RetrieveOrder()))
             body = next(
                 (
                     o.outcome.unwrap()
                     for o in out
-                    if isinstance(o, Completed) and o.number == READING and isinstance(o.outcome, Success)
+                    if isinstance(o, Completed) and o.order_id == READING and isinstance(o.outcome, Success)
                 ),
                 None,
             )
-        in_force = cell.told[1] if member.in_force(now, cell.told[0]) and not cell.stopped else None
-        return Look(holds, member.primary == cell.ip, in_force, body)
+        in_force = cell.told[1] if member.is_in_force(now, cell.told[0]) and not cell.stopped else None
+        return Look(holds, member.primary_ip == cell.ip, in_force, body)
--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -24,18 +24,18 @@
 from vetchusher.control import (
     Committed,
     Completed,
+    EvacuationOrder,
     Order,
     Output,
     Persisted,
     Received,
-    Replace,
-    Retire,
+    ReplaceOrder,
     Send,
-    SetEvacuation,
+    ShutDown,
     Submitted,
     Timing,
 )
-from vetchusher.control.state import START
+from vetchusher.control.state import ZERO_STAMP
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.explorer import TIME
 from vetchusher.events import Event, LogEvent
@@ -48,29 +48,29 @@
 LATE = 2 * UNIT  # a message older than that is lost, as every question is by then
 BEGIN = 100 * UNIT
 TIMING = Timing(
-    renew_us=UNIT,
-    lease_us=3 * UNIT,
-    held_us=2 * UNIT,
-    other_zone_us=2 * UNIT,
-    late_us=2 * UNIT,
-    rest_us=4 * UNIT,
-    yield_us=3 * UNIT,
-    drop_copy_us=6 * UNIT,
-    heard_us=2 * UNIT,
-    stopped_us=2 * UNIT,
-    regain_us=UNIT,
-    candidate_backoff_us=UNIT,
-    pause_us=3 * UNIT,
-    probe_us=UNIT,
-    ask_us=2 * UNIT,
-    order_us=6 * UNIT,
-    resend_us=UNIT,
-    resend_most_us=4 * UNIT,
-    retry_us=UNIT,
-    recall_us=UNIT,
-    anew_us=8 * UNIT,
-    join_us=UNIT,
-    learner_us=6 * UNIT,
+    renewal_interval_us=UNIT,
+    lease_duration_us=3 * UNIT,
+    answer_valid_us=2 * UNIT,
+    other_zone_timeout_us=2 * UNIT,
+    write_timeout_us=2 * UNIT,
+    ejection_us=4 * UNIT,
+    own_disk_timeout_us=3 * UNIT,
+    copy_retention_us=6 * UNIT,
+    contact_timeout_us=2 * UNIT,
+    pause_threshold_us=2 * UNIT,
+    lease_regain_us=UNIT,
+    election_back_off_us=UNIT,
+    election_jitter_us=3 * UNIT,
+    pre_vote_timeout_us=UNIT,
+    vote_timeout_us=2 * UNIT,
+    order_timeout_us=6 * UNIT,
+    resend_delay_us=UNIT,
+    max_resend_delay_us=4 * UNIT,
+    persist_retry_us=UNIT,
+    recovery_interval_us=UNIT,
+    bootstrap_delay_us=8 * UNIT,
+    join_interval_us=UNIT,
+    learner_timeout_us=6 * UNIT,
 )
 
 Sent = tuple[str, str, bytes, int]  # from, to, what, when
@@ -123,8 +123,8 @@
     done: bool = False
 
 
-def replacing(version: int) -> Replace:
-    return Replace(version, b"r%d" % version)
+def replacing(version: int) -> ReplaceOrder:
+    return ReplaceOrder(version, b"r%d" % version)
 
 
 @dataclass(slots=True)
@@ -179,7 +179,7 @@
                     judge = self.judging()
                 judge.reads(seen.body, judge.floor())
         # Before the first commit nothing was promised, and a disk that was never written is no loss.
-        fault = unbearable(self.moment()) if self.judge.newest > START else None
+        fault = unbearable(self.moment()) if self.judge.newest > ZERO_STAMP else None
         if fault:
             self.judging().say(f"a loss that is tolerated would not be borne, {fault}")
 
@@ -191,7 +191,7 @@
             member, lately = cell.member, self.judge.lost_lately(cell.ip)
             if member is None or cell.stopped or cell.disk is None or cell.ip in cut_off or lately:
                 spent.add(cell.ip)
-            if member is not None and not member.amnesiac and cell.disk is not None:
+            if member is not None and not member.is_amnesiac and cell.disk is not None:
                 well[cell.ip] = cell.disk
         return Moment(well, frozenset(spent), frozenset(), TOLERATED, self.judge.newest)
 
@@ -230,8 +230,8 @@
                 assert isinstance(epoch, int)
                 self.judging().led(epoch, f"{cell.ip}/{cell.life}")
             elif isinstance(out, LogEvent) and out.event is Event.COPIES_HELD:
-                assert cell.member is not None and cell.member.primary_work is not None
-                record = cell.member.primary_work.reconfiguration.record
+                assert cell.member is not None and cell.member.primary_role is not None
+                record = cell.member.primary_role.reconfiguration.current
                 self.judging().stands(record, {c.ip: c.disk for c in self.cells})
         return self
 
@@ -241,16 +241,16 @@
 
     def answered(self, out: Completed) -> None:
         for place, operator in enumerate(self.operators):
-            if operator.number != out.number:
+            if operator.number != out.order_id:
                 continue
             ok, order = isinstance(out.outcome, Success), operator.order
             refused = in_conflict(out.outcome)
             self.operate(place, replace(operator, number=0, to="", done=ok or refused))
-            if refused and isinstance(order, Replace):
+            if refused and isinstance(order, ReplaceOrder):
                 self.judging().refused(order.version, order.body)
-            elif ok and isinstance(order, Replace):
+            elif ok and isinstance(order, ReplaceOrder):
                 self.judging().acked(order.version, order.body, operator.floor)
-            elif ok and isinstance(order, SetEvacuation):
+            elif ok and isinstance(order, EvacuationOrder):
                 self.judging().expected[order.zone] = order.on
 
     def operate(self, place: int, operator: Operator) -> None:
@@ -330,7 +330,7 @@
     def pull(self, cell: Cell) -> None:
         """It asks the one that it takes for the primary for what that tells."""
         assert cell.member is not None
-        other = self.cell(cell.member.primary) if cell.member.primary else cell
+        other = self.cell(cell.member.primary_ip) if cell.member.primary_ip else cell
         ways = {(cell.ip, other.ip), (other.ip, cell.ip)}
         if other.member is not None and not other.stopped and not ways & self.cuts and other.told > cell.told:
             self.put(self.hall.keep(replace(cell, told=other.told)))
@@ -355,9 +355,9 @@
         floor = committed_version(cell.member)
         sent = replace(operator, tries=operator.tries - 1, number=number, to=cell.ip, floor=floor)
         self.operate(place, sent)
-        if isinstance(order, Replace):
+        if isinstance(order, ReplaceOrder):
             self.judging().sends(order.version, order.body)
-        elif isinstance(order, SetEvacuation):
+        elif isinstance(order, EvacuationOrder):
             self.judging().expected.pop(order.zone, None)
         return self.carry(self.hall.give(cell, self.at, Submitted(number, order), (number, order)))
 
@@ -409,7 +409,7 @@
 
     def retires(self, cell: Cell) -> State:
         """It is told to end in order; the end itself is a crash."""
-        return self.carry(self.hall.give(cell, self.at, Retire(), "retire"))
+        return self.carry(self.hall.give(cell, self.at, ShutDown(), "retire"))
 
     def blackout(self, landed: bool = False) -> State:
         for cell in self.cells:
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -9,7 +9,15 @@
 from returns.result import Failure, Result
 
 from vetchusher.control import PersistentState, Replica
-from vetchusher.control.state import START, Point, at, has_quorum, majority, place, voters
+from vetchusher.control.state import (
+    ZERO_STAMP,
+    StampTuple,
+    has_quorum,
+    majority,
+    replica_set_id,
+    state_stamp,
+    voters,
+)
 from vetchusher.distribution.wire_pb2 import ControlState, ReplicaSet
 from vetchusher.emulator.fleet_world import SECOND
 from vetchusher.kinds import Fault, Kind
@@ -21,7 +29,7 @@
 
 def committed_version(member: Replica) -> int | None:
     """What it has committed as the primary of this epoch; None: nothing, or it leads none."""
-    work = member.primary_work
+    work = member.primary_role
     return work.committed.version if work is not None and work.committed is not None else None
 
 
@@ -55,8 +63,8 @@
     read: int = 0
     expected: dict[str, bool] = field(default_factory=dict)
     primaries: dict[int, str] = field(default_factory=dict)
-    committed: dict[Point, bytes] = field(default_factory=dict)  # what each stamp stands for
-    newest: Point = START
+    committed: dict[StampTuple, bytes] = field(default_factory=dict)  # what each stamp stands for
+    newest: StampTuple = ZERO_STAMP
     lost_at: dict[str, int] = field(default_factory=dict)  # when a machine's disk was last lost
 
     def say(self, what: str) -> None:
@@ -72,7 +80,7 @@
             self.say(f"{' and '.join(holders)} hold at once")
 
     def commits(self, who: str, state: ControlState) -> None:
-        stamp, told = at(state), state.SerializeToString(deterministic=True)
+        stamp, told = state_stamp(state), state.SerializeToString(deterministic=True)
         if self.committed.setdefault(stamp, told) != told:
             self.say(f"{who} committed {stamp}, which was something else before")
         if stamp <= self.newest:
@@ -90,7 +98,7 @@
         is_on = {e.zone: e.on for e in state.evacuations}
         for zone, on in self.expected.items():
             if is_on.get(zone, False) != on:
-                self.say(f"{who} committed {at(state)}: zone {zone} is not as acknowledged")
+                self.say(f"{who} committed {state_stamp(state)}: zone {zone} is not as acknowledged")
 
     def sends(self, version: int, body: bytes) -> None:
         bodies = self.sent.get(version, ())
@@ -134,24 +142,27 @@
         """A record has come to stand: its copies are whole, a majority has it, none is without a copy."""
         members = len(record.members)
         if members % 2 == 0 and not record.previous_members:
-            self.say(f"record {place(record)} has {members} voters: one more than bears as many losses")
+            self.say(
+                f"record {replica_set_id(record)} has {members} voters: one more than bears as many losses"
+            )
         if len(record.copies) < members - majority(members) + 1 or set(record.copies) - set(record.members):
-            self.say(f"record {place(record)}: a majority may hold no copy")
+            self.say(f"record {replica_set_id(record)}: a majority may hold no copy")
         without = [
             ip
             for ip in record.copies
-            if not ((disk := disks[ip]) and disk.copy and at(disk.state) >= self.newest)
+            if not ((disk := disks[ip]) and disk.has_copy and state_stamp(disk.state) >= self.newest)
             and not self.lost_lately(ip)
         ]
         if without:
-            self.say(f"record {place(record)} names {', '.join(without)}, without a whole copy")
+            self.say(f"record {replica_set_id(record)} names {', '.join(without)}, without a whole copy")
         have = [
             ip
             for ip in sorted(voters(record))
-            if ((disk := disks[ip]) and place(disk.record) >= place(record)) or self.lost_lately(ip)
+            if ((disk := disks[ip]) and replica_set_id(disk.replica_set) >= replica_set_id(record))
+            or self.lost_lately(ip)
         ]
         if not has_quorum(record, have):
-            self.say(f"record {place(record)} stands on {', '.join(have)} only")
+            self.say(f"record {replica_set_id(record)} stands on {', '.join(have)} only")
 
     def floor(self) -> int:
         """What a reading that begins now has to show at least."""
--- a/vetchusher/emulator/control/process_replacement.py
+++ b/vetchusher/emulator/control/process_replacement.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Mapping, Sequence
 
-from vetchusher.control.state import place, voters
+from vetchusher.control.state import replica_set_id, voters
 from vetchusher.distribution.wire_pb2 import ReplicaSet
 from vetchusher.emulator.system.local import Machine
 from vetchusher.node.folders import kept_in
@@ -87,7 +87,7 @@
     """The replica set on the disk of a machine that may be writing; None: none, or it could not be read just
     then."""
     kept = (await asyncio.to_thread(kept_in, str(machine.disk))).value_or(None)
-    return kept.record if kept is not None else None
+    return kept.replica_set if kept is not None else None
 
 
 async def records(rig: CoreRig) -> list[ReplicaSet]:
@@ -107,8 +107,8 @@
     end, stood, told = time.monotonic() + REGAIN_S, 0.0, [ReplicaSet()]
     while time.monotonic() < end:
         told = await records(rig)
-        newest = max(map(place, told), default=(0, 0))
-        holding = [one for one in told if place(one) == newest and names_today(rig, one)]
+        newest = max(map(replica_set_id, told), default=(0, 0))
+        holding = [one for one in told if replica_set_id(one) == newest and names_today(rig, one)]
         if len(holding) <= rig.size // 2:
             stood = 0.0
         elif not stood:
@@ -116,7 +116,9 @@
         if len(holding) == rig.size:
             return stood
         await asyncio.sleep(LOOK_S)
-    shown = "; ".join(f"{place(one)}: {list(one.members)} {list(one.previous_members)}" for one in told)
+    shown = "; ".join(
+        f"{replica_set_id(one)}: {list(one.members)} {list(one.previous_members)}" for one in told
+    )
     rig.found.wrong.append(
         f"voters after a replacement are not those of today for {REGAIN_S:g} s: "
         f"{[m.ip for m in rig.apiary.core]}, on the disks {shown}; {rig.roles()}"
@@ -129,7 +131,7 @@
 
     async def caught_up() -> bool:
         held, told = await record_of(successor), await records(rig)
-        return held is not None and bool(told) and place(held) == max(map(place, told))
+        return held is not None and bool(told) and replica_set_id(held) == max(map(replica_set_id, told))
 
     await rig.apiary.until(caught_up, f"{successor.name} has caught up")
 
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -124,7 +124,7 @@
                 world.judge.say(f"machine {ip} is not as told: {act}")
         elif act in ("copy", "none"):
             disk = world.machines[ip].disk
-            if (disk is not None and disk.copy) != (act == "copy"):
+            if (disk is not None and disk.has_copy) != (act == "copy"):
                 world.judge.say(f"machine {ip} is not as told: {act}")
         elif act[0] == "x":
             world.cuts |= {(ip, act[1:]), (act[1:], ip)}
--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -18,7 +18,7 @@
 from functools import partial
 
 from vetchusher.control import Timing
-from vetchusher.control.state import majority, newest
+from vetchusher.control.state import majority, newest_replica_set
 from vetchusher.emulator.fleet_world import MS, SECOND
 
 from .closure import Moment, unbearable
@@ -75,7 +75,7 @@
     drops = rng.random() < 0.3  # members that are away for a while are left out
     scene = Scene(
         seed=seed,
-        timing=Timing(drop_us=3 * SECOND) if drops else Timing(),
+        timing=Timing(removal_timeout_us=3 * SECOND) if drops else Timing(),
         zones=zones + tuple(rng.choices(zones, k=joiners)),
         seeds=len(zones),
         drift=rng.choice((0.0, 0.01, 0.045)),
@@ -189,7 +189,7 @@
         once()
 
     def anybody(self) -> str:
-        leaders = [ip for ip, m in self.world.machines.items() if m.member and m.member.primary == ip]
+        leaders = [ip for ip, m in self.world.machines.items() if m.member and m.member.primary_ip == ip]
         return self.rng.choice(leaders or self.present())
 
     # -- faults: each begins at one machine, and says how it ends ------------------------------
@@ -271,7 +271,7 @@
         disks = {
             ip: machine.disk
             for ip, machine in world.machines.items()
-            if ip not in in_fault and machine.member and machine.disk and not machine.member.amnesiac
+            if ip not in in_fault and machine.member and machine.disk and not machine.member.is_amnesiac
         }
         return Moment(
             disks, frozenset(lost), frozenset(self.fresh()), self.search.tolerated, world.judge.newest
@@ -384,8 +384,8 @@
 
     def members(self) -> list[str]:
         """As the newest record on any disk names them."""
-        records = [m.disk.record for m in self.world.machines.values() if m.disk is not None]
-        return list(newest(records).members)
+        records = [m.disk.replica_set for m in self.world.machines.values() if m.disk is not None]
+        return list(newest_replica_set(records).members)
 
     def settled(self, well: list[str]) -> None:
         """These machines are a majority, up and joined: an order given to them is settled in time."""
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -17,6 +17,7 @@
 from vetchusher.control import (
     Committed,
     Completed,
+    EvacuationOrder,
     Input,
     Order,
     Output,
@@ -24,17 +25,16 @@
     Persisted,
     PersistentState,
     Received,
-    Replace,
+    ReplaceOrder,
     Replica,
-    Retire,
-    Retrieve,
+    RetrieveOrder,
     Send,
-    SetEvacuation,
+    ShutDown,
     Submitted,
     Tick,
     Timing,
 )
-from vetchusher.control.state import START, Point, at
+from vetchusher.control.state import ZERO_STAMP, StampTuple, state_stamp
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.events import Event, LogEvent
@@ -138,7 +138,7 @@
     disk_refuses: bool = False
     frozen: bool = False
     gone: bool = False  # for good: it never starts again
-    told: tuple[Point, int] = (START, 0)
+    told: tuple[StampTuple, int] = (ZERO_STAMP, 0)
     link_free_at: int = 0  # when what was sent has left
     inbox: list[Input] = field(default_factory=list)
     door: list[int] = field(default_factory=list)
@@ -233,7 +233,7 @@
 
     def pull(self, machine: Machine) -> None:
         """It asks the one that it takes for the primary for what that tells."""
-        other = self.machines.get(machine.member.primary) if machine.member is not None else None
+        other = self.machines.get(machine.member.primary_ip) if machine.member is not None else None
         if other is None or other.member is None or other.frozen or machine.ip in self.no_writes:
             return
         if not {(machine.ip, other.ip), (other.ip, machine.ip)} & self.cuts:
@@ -246,8 +246,8 @@
             if len(machine.inbox) < MOST_INBOX:
                 machine.inbox.append(event)
             return
-        if isinstance(event, Submitted) and event.number in self.attempts:
-            self.attempts[event.number].floor = committed_version(machine.member)
+        if isinstance(event, Submitted) and event.order_id in self.attempts:
+            self.attempts[event.order_id].floor = committed_version(machine.member)
         for out in machine.member.handle(machine.now(self.at), event):
             self.carry(machine, out)
         self.look()
@@ -258,15 +258,15 @@
             if machine.member is None:
                 continue
             now = machine.now(self.at)
-            if machine.member.holds(now):
+            if machine.member.is_leader(now):
                 holding.append(machine.ip)
-            if machine.member.in_force(now, machine.told[0]) and not machine.frozen:
+            if machine.member.is_in_force(now, machine.told[0]) and not machine.frozen:
                 self.judge.in_force(machine.ip, machine.told[1])
         self.judge.held(holding)
 
     def holds(self, ip: str) -> bool:
         machine = self.machines[ip]
-        return machine.member is not None and machine.member.holds(machine.now(self.at))
+        return machine.member is not None and machine.member.is_leader(machine.now(self.at))
 
     def carry(self, machine: Machine, out: Output) -> None:
         if isinstance(out, Send):
@@ -274,7 +274,7 @@
         elif isinstance(out, Persist):
             self.save(machine, out)
         elif isinstance(out, Committed):
-            machine.told = max(machine.told, (at(out.state), out.state.version))
+            machine.told = max(machine.told, (state_stamp(out.state), out.state.version))
             self.judge.commits(machine.ip, out.state)
         elif isinstance(out, Completed):
             self.done(machine, out)
@@ -285,15 +285,15 @@
                 epoch = out.facts["epoch"]
                 assert isinstance(epoch, int)
                 self.judge.led(epoch, f"{machine.ip}/{machine.life}")
-            elif out.event is Event.COPIES_HELD and machine.member and machine.member.primary_work:
-                record = machine.member.primary_work.reconfiguration.record
+            elif out.event is Event.COPIES_HELD and machine.member and machine.member.primary_role:
+                record = machine.member.primary_role.reconfiguration.current
                 self.judge.stands(record, {ip: m.disk for ip, m in self.machines.items()})
 
     def kill(self, ip: str) -> None:
         """The process ends, by itself or as the power goes: what was not synced may be on the disk or not."""
         machine = self.machines[ip]
         if machine.saving is not None and self.rng.random() < 0.5:
-            machine.disk = machine.saving.kept
+            machine.disk = machine.saving.contents
         machine.member, machine.saving, machine.frozen = None, None, False
         machine.inbox.clear()
         machine.door.clear()
@@ -309,14 +309,14 @@
         :param then: what follows its end, if that was in order
         """
         machine, life = self.machines[ip], self.machines[ip].life
-        self.give(machine, Retire())
+        self.give(machine, ShutDown())
         self.after(TICK, lambda: self.ending(machine, life, self.at, then))
 
     def ending(self, machine: Machine, life: int, began: int, then: Callable[[], None]) -> None:
         if machine.life != life or machine.member is None:
             return
-        seat_end = SEAT_WAIT if machine.member.seated else 0
-        needed = not machine.frozen and machine.member.needed(machine.now(self.at))
+        seat_end = SEAT_WAIT if machine.member.is_voter else 0
+        needed = not machine.frozen and machine.member.is_needed(machine.now(self.at))
         if self.at < began + (GRACE if needed else seat_end):
             self.after(TICK, lambda: self.ending(machine, life, began, then))
             return
@@ -355,7 +355,7 @@
         assert machine.saving is None, "two saves at once"
         machine.saving = save
         life = machine.life
-        busy = taking(save.kept.state.ByteSize(), self.scene.disk_bytes_s)
+        busy = taking(save.contents.state.ByteSize(), self.scene.disk_bytes_s)
         busy += self.rng.randrange(1, self.scene.disk_us)
         self.after(busy, lambda: self.saved(machine, life, save))
 
@@ -367,7 +367,7 @@
             return
         machine.saving = None
         if not machine.disk_refuses:
-            machine.disk = save.kept
+            machine.disk = save.contents
         self.give(machine, Persisted(save.token, not machine.disk_refuses))
 
     def disk_well(self, ip: str) -> None:
@@ -412,9 +412,9 @@
         number, machine = self.serial, self.machines[ip]
         self.attempts[number] = Attempt(order, answer)
         self.after(patience, lambda: self.unanswered(number))
-        if isinstance(order, Replace):
+        if isinstance(order, ReplaceOrder):
             self.judge.sends(order.version, order.body)
-        elif isinstance(order, SetEvacuation):
+        elif isinstance(order, EvacuationOrder):
             self.judge.expected.pop(order.zone, None)
         if not machine.frozen:
             self.enter(machine, number)
@@ -425,8 +425,8 @@
         """An order is read by the machine that it was sent to."""
         order, to = self.attempts[number].order, self.passed_on(machine.ip)
         member = machine.member
-        waited = member is not None and member.stood_still(machine.now(self.at))
-        if to is None or (waited and isinstance(order, SetEvacuation)):
+        waited = member is not None and member.was_paused(machine.now(self.at))
+        if to is None or (waited and isinstance(order, EvacuationOrder)):
             self.after(10 * MS, lambda: self.unanswered(number))
         else:
             self.after(5 * MS, lambda: self.give(self.machines[to], Submitted(number, order)))
@@ -442,21 +442,21 @@
         member = self.machines[ip].member
         if member is None:
             return None
-        to = member.primary
+        to = member.primary_ip
         if to == ip or not to:
             return to or None
         return to if not {(ip, to), (to, ip)} & self.cuts else None
 
     def done(self, machine: Machine, out: Completed) -> None:
-        attempt = self.attempts.pop(out.number, None)
+        attempt = self.attempts.pop(out.order_id, None)
         if attempt is None:
             return
-        if isinstance(attempt.order, Replace):
+        if isinstance(attempt.order, ReplaceOrder):
             self.judged(attempt, attempt.order, out.outcome)
         if not attempt.given_up:
             attempt.answer(out.outcome)
 
-    def judged(self, attempt: Attempt, order: Replace, outcome: Result[bytes, Fault]) -> None:
+    def judged(self, attempt: Attempt, order: ReplaceOrder, outcome: Result[bytes, Fault]) -> None:
         if isinstance(outcome, Success):
             self.judge.acked(order.version, order.body, attempt.floor)
         elif in_conflict(outcome):
@@ -489,7 +489,7 @@
                 then(isinstance(outcome, Success))
 
         body = configuration_body(version, self.scene.body_rows, variant)
-        self.order(ip, Replace(version, body), answer, patience)
+        self.order(ip, ReplaceOrder(version, body), answer, patience)
 
     def evacuate(
         self, ip: str, zone: str, on: bool, then: Callable[[bool], None], patience: int = PATIENCE
@@ -501,7 +501,7 @@
                 self.judge.expected[zone] = on
             then(isinstance(outcome, Success))
 
-        self.order(ip, SetEvacuation(zone, on), answer, patience)
+        self.order(ip, EvacuationOrder(zone, on), answer, patience)
 
     def retrieve(self, ip: str, then: Callable[[int | None], None]) -> None:
         """`then` is told the version that was read, None without an answer."""
@@ -515,4 +515,4 @@
             else:
                 then(None)
 
-        self.order(ip, Retrieve(), answer)
+        self.order(ip, RetrieveOrder(), answer)
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.control import SetEvacuation
+from vetchusher.control import EvacuationOrder
 from vetchusher.control import state as control_state
 from vetchusher.discovery import reader
 from vetchusher.distribution import wire_pb2 as wire
@@ -27,7 +27,7 @@
 REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
 REAL_HOLDER_OF = control_node.ControlNode.holder_of
 REAL_OVER = proxy.Flow.over
-REAL_EVACUATED = control_state.evacuated
+REAL_EVACUATED = control_state.apply_evacuation
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
 REAL_IN_FORCE = Subscriber._in_force
 LONG = 1 << 61
@@ -54,8 +54,8 @@
     return [SendPull(ip, self.pulls, wire.Pull(vector=nothing))]
 
 
-def evacuates_at_any_time(state: wire.ControlState, order: SetEvacuation) -> Any:
-    return REAL_EVACUATED(state, dataclasses.replace(order, after=None))
+def evacuates_at_any_time(state: wire.ControlState, order: EvacuationOrder) -> Any:
+    return REAL_EVACUATED(state, dataclasses.replace(order, previous_order=None))
 
 
 def takes_the_answer_before(self: proxy.Flow, number: int, seen: claims.Seen, prompt: bool, got: Any) -> None:
@@ -134,7 +134,7 @@
     "a late vector lowers what was told": ((Subscriber, "_in_force", takes_any_vector),),
     "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
     "a cut-off machine vouches": ((control_node.ControlNode, "in_force", lambda self, now: True),),
-    "an order of evacuation bears no number": ((control_state, "evacuated", evacuates_at_any_time),),
+    "an order of evacuation bears no number": ((control_state, "apply_evacuation", evacuates_at_any_time),),
     "what was held up is passed on": ((control_node, "OVERTAKEN_US", 1 << 61),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
 }
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -19,7 +19,7 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.control import PersistentState
-from vetchusher.control.store import Copy, Scanned
+from vetchusher.control.store import ScanResult, StoredCopy
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import NEVER, Source
 from vetchusher.emulator.fleet_world import MS, SECOND
@@ -86,10 +86,10 @@
     core: bool
     rate: float
     disk: PersistentState | None = None
-    floor: PersistentState | None = None
-    copy: Copy | None = None
+    imported_state: PersistentState | None = None
+    copy: StoredCopy | None = None
     snapshots: dict[str, bytes] = field(default_factory=dict)
-    life: int = 0
+    incarnation: int = 0
     ran: bool = False
     loop: ProcessLoop | None = None
     part: ControlNode | EdgeNode | None = None
@@ -101,8 +101,8 @@
         self.disk = kept
         return Success(None)
 
-    def scan(self) -> Scanned:
-        return Scanned((), True, 0)
+    def scan(self) -> ScanResult:
+        return ScanResult((), True, 0)
 
 
 class DrawnSnapshotStore:
@@ -245,7 +245,7 @@
         machine = self.machines[name]
         if machine.loop is not None and machine.loop.alive:
             return
-        machine.life += 1
+        machine.incarnation += 1
         # What no program here calls is left out of the loop.
         loop = machine.loop = cast(Any, ProcessLoop)(self.net, machine.ip, machine.rate)
         self.net.loops[machine.ip] = loop
@@ -340,9 +340,9 @@
             for calm in self.calm_of(name):
                 calm.hit(self.clock.at)
             loop.call_soon(part.leave)
-            life = machine.life
+            life = machine.incarnation
             grace = int(BOUNDS.grace_s * SECOND)
-            self.clock.after(grace, lambda: self.end(name, False) if machine.life == life else None)
+            self.clock.after(grace, lambda: self.end(name, False) if machine.incarnation == life else None)
 
     def disk(self, name: str, hangs: bool) -> None:
         loop = self.machines[name].loop
@@ -354,7 +354,7 @@
         """Who leads, by its own word."""
         for machine in self.cores:
             part, loop = machine.part, machine.loop
-            if isinstance(part, ControlNode) and loop is not None and part.member.holds(part.now()):
+            if isinstance(part, ControlNode) and loop is not None and part.member.is_leader(part.now()):
                 return machine.name
         return ""
 
@@ -403,7 +403,7 @@
             path == "/safe/",
             region,
             machine.ip,
-            machine.life,
+            machine.incarnation,
             self.clock.at,
         )
         self.judge.at = self.clock.at
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -59,8 +59,8 @@
     return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
 
 
-def evacuation_of(asked: wire.Evacuate) -> control.SetEvacuation:
-    return control.SetEvacuation(asked.zone, asked.on, asked.after if asked.HasField("after") else None)
+def evacuation_of(asked: wire.Evacuate) -> control.EvacuationOrder:
+    return control.EvacuationOrder(asked.zone, asked.on, asked.after if asked.HasField("after") else None)
 
 
 class ControlNode:
@@ -88,7 +88,7 @@
             rng,
             now(),
             node.tolerance.machine_losses,
-            store.floor,
+            store.imported_state,
         )
         self.saving = Persister(loop, store, self.saved, note)
         self.mending = RepairDriver(
@@ -191,7 +191,7 @@
         elif kind == "pull":
             channel.reply(frame, wire.Frame(), self.telling.news(frame.pull.vector))
         elif kind == "push":
-            if self.holder is not None and self.member.holds(self.now()):
+            if self.holder is not None and self.member.is_leader(self.now()):
                 channel.reply(frame, wire.Frame(totals=self.holder.push(self.now(), frame.push)))
                 alarm = self.holder.alarm(self.now())
                 if alarm is not None:
@@ -215,15 +215,15 @@
         now = self.now()
         return wire.HeartbeatReply(
             vector=vector_of(self.sources),
-            members=self.member.members,
-            primary=self.member.primary,
+            members=self.member.voters,
+            primary=self.member.primary_ip,
             # Danger: what is committed and not told yet would be taken for old.
             in_force=self.in_force(now) and not self.applying.behind,
         )
 
     def in_force(self, now: int) -> bool:
         """Whether a majority stands behind what is told here."""
-        return self.member.in_force(now, self.control.stamp)
+        return self.member.is_in_force(now, self.control.stamp)
 
     def tell_watchers(self) -> None:
         """A grown vector, unasked: whoever lacks it pulls at once."""
@@ -248,19 +248,19 @@
                 checked = await self.reading.read(body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
-                order = control.Replace(checked.unwrap().version, body)
+                order = control.ReplaceOrder(checked.unwrap().version, body)
                 passed = wire.OrderAsked(replace=wire.ReplaceConfiguration(body=body))
                 return acknowledged(await self.decide(order, passed), operator_api.Replaced())
             case operator_api.RetrieveConfiguration():
                 passed = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
-                read = await self.decide(control.Retrieve(), passed)
+                read = await self.decide(control.RetrieveOrder(), passed)
                 return operator_api.Backed(read.outcome.map(operator_api.Retrieved), read.lasts)
             case operator_api.InitiateEvacuation(zone) | operator_api.TerminateEvacuation(zone):
                 if zone not in self.node.zones:
                     return self.no_zone(zone)
                 on = isinstance(call, operator_api.InitiateEvacuation)
                 passed = wire.OrderAsked(evacuate=wire.Evacuate(zone=zone, on=on))
-                decided = await self.decide(control.SetEvacuation(zone, on), passed)
+                decided = await self.decide(control.EvacuationOrder(zone, on), passed)
                 return acknowledged(decided, operator_api.EvacuationSet(zone, on))
         return Failure(Fault(Kind.NOT_FOUND, "no such call"))
 
@@ -289,10 +289,10 @@
         Danger: evacuations have no version.  One that waited at the door while this process stood still may
         be older than its end, which others have acknowledged since.
         """
-        if isinstance(order, control.SetEvacuation) and self.member.stood_still(self.now()):
+        if isinstance(order, control.EvacuationOrder) and self.member.was_paused(self.now()):
             waited = Failure(Fault(Kind.NOT_SETTLED, "it may have waited here", ASK_AGAIN_US))
             return operator_api.Backed(waited, lambda: True)
-        if self.member.holds(self.now()):
+        if self.member.is_leader(self.now()):
             return await self.decide_here(order)
         passed_at = self.now()
         outcome = await self.pass_on(passed)
@@ -304,7 +304,7 @@
         return operator_api.Backed(await self.submit(order), lambda: self.on_duty(epoch))
 
     async def pass_on(self, passed: wire.OrderAsked) -> Result[bytes, Fault]:
-        primary = self.member.primary
+        primary = self.member.primary_ip
         if not primary or primary == self.node.ip_address:
             return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
         answer = await self.ask_primary(primary, passed)
@@ -351,8 +351,8 @@
     async def settle_for(self, frame: wire.Frame, channel: Channel) -> None:
         """An order that another core machine passed on: settled here or not at all."""
         asked = frame.order
-        if asked.HasField("evacuation_number") and self.member.holds(self.now()):
-            number = self.member.last_evacuation(asked.evacuation_number.zone)
+        if asked.HasField("evacuation_number") and self.member.is_leader(self.now()):
+            number = self.member.last_evacuation_order(asked.evacuation_number.zone)
             channel.reply(frame, wire.Frame(done=wire.OrderDone(number=number)))
             return
         outcome = await self.settle_passed(asked)
@@ -366,17 +366,17 @@
 
     async def settle_passed(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
         """As it may leave: what is read out or refused for good only while the lease lasts."""
-        if not self.member.holds(self.now()):
+        if not self.member.is_leader(self.now()):
             return Failure(Fault(Kind.NOT_SETTLED, "not the primary"))
         match asked.WhichOneof("order"):
             case "replace":
                 checked = await self.reading.read(asked.replace.body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
-                order = control.Replace(checked.unwrap().version, asked.replace.body)
+                order = control.ReplaceOrder(checked.unwrap().version, asked.replace.body)
                 return acknowledged(await self.decide_here(order), b"").leaving()
             case "retrieve":
-                return (await self.decide_here(control.Retrieve())).leaving()
+                return (await self.decide_here(control.RetrieveOrder())).leaving()
             case "evacuate":
                 evacuation = evacuation_of(asked.evacuate)
                 return acknowledged(await self.decide_here(evacuation), b"").leaving()
@@ -396,7 +396,7 @@
         self.mending.tick()
         for note in self.presence.sweep(now):
             self.note(note)
-        holds = self.member.holds(now)
+        holds = self.member.is_leader(now)
         if holds and (self.duty is None or self.duty.done()):
             self.begin_duties(now)
         elif not holds and self.holder is not None:
@@ -412,7 +412,7 @@
             due = [led for name, led in self.sources.items() if led.stamp > self.shelved.get(name, NEVER)]
             if due:
                 self.shelving = self.loop.create_task(self.put_away(self.shelf, due))
-        named = {*self.member.members, *self.follower.seeds} - {self.node.ip_address}
+        named = {*self.member.voters, *self.follower.seeds} - {self.node.ip_address}
         self.paths.keep(named)
 
     async def put_away(self, shelf: SnapshotStore, due: list[Source]) -> None:
@@ -466,7 +466,7 @@
         self.note(LogEvent(Event.TOTALS_LEFT))
 
     def on_duty(self, epoch: int) -> bool:
-        return self.member.holds(self.now()) and self.member.epoch == epoch
+        return self.member.is_leader(self.now()) and self.member.epoch == epoch
 
     async def read_list(self, epoch: int) -> None:
         """Read the platform's list, and tell what it says, for as long as the epoch is held."""
@@ -520,12 +520,12 @@
     def reseed(self, node: NodeSettings) -> None:
         self.node = node
         seeds = [host for host, _ in node.seed_nodes]
-        self.member.reseed(seeds)
+        self.member.update_seeds(seeds)
         self.follower.reseed(seeds)
 
     def leave(self) -> None:
         """Another is to lead, or to hold the copy, at once."""
-        self.feed(control.Retire())
+        self.feed(control.ShutDown())
 
     def may_not_end(self, deadline_s: float, seat_end_s: float) -> bool:
         """Whether this machine, about to end, has something that another has to take over first.
@@ -533,9 +533,9 @@
         :param seat_end_s: on the loop's clock: until when it waits for its seat alone to be taken
         """
         at = self.loop.time()
-        if self.member.needed(self.now()):
+        if self.member.is_needed(self.now()):
             return at < deadline_s
-        return self.member.seated and at < seat_end_s
+        return self.member.is_voter and at < seat_end_s
 
     async def close(self, deadline_s: float) -> None:
         """Votes on until others have taken over, for a while.
--- a/vetchusher/node/folders.py
+++ b/vetchusher/node/folders.py
@@ -16,9 +16,9 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.control import PersistentState, Store, archive
-from vetchusher.control.database_file import NAME, format_told
-from vetchusher.control.digests import FAN
-from vetchusher.control.restore import floor_of
+from vetchusher.control.database_file import FILE_NAME, format_in_header
+from vetchusher.control.digests import FAN_OUT
+from vetchusher.control.restore import imported_state_of
 from vetchusher.distribution.rows import digest
 from vetchusher.kinds import Fault, Kind
 from vetchusher.settings.configuration import read_configuration
@@ -45,12 +45,14 @@
     found = kept.unwrap()
     if found is None:
         return Failure(Fault(Kind.BAD_STORE, f"{folder}: nothing yet"))
-    if not found.copy:
+    if not found.has_copy:
         return Failure(
-            Fault(Kind.BAD_STORE, f"{folder}: holds no copy; one of {', '.join(found.record.copies)} does")
+            Fault(
+                Kind.BAD_STORE, f"{folder}: holds no copy; one of {', '.join(found.replica_set.copies)} does"
+            )
         )
     state = found.state
-    return named(file, archive.write_file(path, found)).map(
+    return named(file, archive.write_export(path, found)).map(
         lambda _: (
             f"{file}: r{state.version} at {state.stamp.epoch}.{state.stamp.seq}, {path.stat().st_size} bytes"
         )
@@ -58,12 +60,12 @@
 
 
 def imported(file: str, folder: str) -> Result[str, Fault]:
-    kept = named(file, archive.read_file(pathlib.Path(file)).bind(readable))
+    kept = named(file, archive.read_export(pathlib.Path(file)).bind(readable))
     if isinstance(kept, Failure):
         return kept
-    floor = floor_of(kept.unwrap(), int(time.time()))
-    return named(folder, archive.bring_in(pathlib.Path(folder), floor)).map(
-        lambda _: f"{folder}: r{floor.state.version} as a floor, epochs from {floor.promised}"
+    floor = imported_state_of(kept.unwrap(), int(time.time()))
+    return named(folder, archive.import_into(pathlib.Path(folder), floor)).map(
+        lambda _: f"{folder}: r{floor.state.version} as a floor, epochs from {floor.voted_epoch}"
     )
 
 
@@ -80,7 +82,7 @@
 
 def kept_in(folder: str) -> Result[PersistentState | None, Fault]:
     """What a folder holds, also as a floor; None: nothing."""
-    return looked_at(folder, lambda store, kept, files: kept or (store.floor if store else None))
+    return looked_at(folder, lambda store, kept, files: kept or (store.imported_state if store else None))
 
 
 def looked_at(folder: str, look: Look[Found]) -> Result[Found, Fault]:
@@ -88,12 +90,12 @@
     try:
         if not any(pathlib.Path(folder).iterdir()):
             return Success(look(None, None, {}))
-        if not (pathlib.Path(folder) / NAME).exists():
-            return Failure(Fault(Kind.BAD_STORE, f"{folder}: there is no {NAME} in it"))
+        if not (pathlib.Path(folder) / FILE_NAME).exists():
+            return Failure(Fault(Kind.BAD_STORE, f"{folder}: there is no {FILE_NAME} in it"))
         with tempfile.TemporaryDirectory() as place:
             copy = shutil.copytree(folder, pathlib.Path(place) / "copy")
             files = {each.name: each.stat().st_size for each in copy.iterdir()}
-            files["format"] = format_told(copy / NAME)
+            files["format"] = format_in_header(copy / FILE_NAME)
             return named(folder, Store.open(str(copy)).bind(lambda store: loaded(store, look, files)))
     except (OSError, shutil.Error) as err:
         return Failure(Fault(Kind.BAD_STORE, f"{folder}: {getattr(err, 'strerror', None) or err}"))
@@ -108,25 +110,25 @@
 
 def told(store: Store | None, kept: PersistentState | None, files: dict[str, int]) -> dict[str, Any] | None:
     """What people want to know of a folder."""
-    held = kept or (store.floor if store is not None else None)
+    held = kept or (store.imported_state if store is not None else None)
     if store is None or held is None:
         return None
     state = held.state
     return {
         "format": files.pop("format"),
         "imported": kept is None,
-        "promised": held.promised,
+        "promised": held.voted_epoch,
         "stamp": f"{state.stamp.epoch}.{state.stamp.seq}",
         "version": f"r{state.version}" if state.version else None,
         "bytes": len(state.configuration),
         "digest": digest(state.configuration) if state.configuration else None,
         "evacuations": {e.zone: f"{'on' if e.on else 'off'}, order {e.order}" for e in state.evacuations},
-        "copy": held.copy,
-        "owner": held.owner,
-        "record": f"{held.record.epoch}.{held.record.number}",
-        "copies": list(held.record.copies),
-        "members": list(held.record.members),
-        "chunks": len(store.chunks),
+        "copy": held.has_copy,
+        "owner": held.voted_for,
+        "record": f"{held.replica_set.epoch}.{held.replica_set.number}",
+        "copies": list(held.replica_set.copies),
+        "members": list(held.replica_set.members),
+        "chunks": len(store.chunk_digests),
         "ranges": ranges(store),
         "files": files,
     }
@@ -137,4 +139,4 @@
     if store.copy is None:
         return {}
     nodes = store.copy.tree.levels[1]
-    return {"all": store.copy.tree.root.hex()} | {f"{n:x}": nodes[n].hex() for n in range(FAN)}
+    return {"all": store.copy.tree.root.hex()} | {f"{n:x}": nodes[n].hex() for n in range(FAN_OUT)}
--- a/vetchusher/node/process.py
+++ b/vetchusher/node/process.py
@@ -120,7 +120,7 @@
                 # What cannot be read whole is forgotten: this machine votes for nothing until it has learnt.
                 self.note(LogEvent(Event.STORE_FAILED, {"why": fault.text}))
                 first_start = False
-        if not first_start or store.floor is not None:
+        if not first_start or store.imported_state is not None:
             node = replace(node, first_start=False)
         shelf = SnapshotStore.open(node.data_directory, node.limits.disk_mb)
         if isinstance(shelf, Failure):
--- a/vetchusher/node/repair.py
+++ b/vetchusher/node/repair.py
@@ -9,13 +9,23 @@
 
 from vetchusher import control
 from vetchusher.control import Replica
-from vetchusher.control.repair import Fetch, Fetched, Input, Look, Mend, Pace, Repair, Rewrite, Scan
-from vetchusher.control.state import at
+from vetchusher.control.repair import (
+    CopyRepair,
+    FetchRows,
+    Input,
+    RepairCopy,
+    RepairTiming,
+    ReplicaStatus,
+    RewriteRows,
+    RowsFetched,
+    ScanRows,
+)
+from vetchusher.control.state import state_stamp
 from vetchusher.events import Event, LogEvent
 
 from .persistence import Persister
 
-Work = Scan | Fetch | Rewrite | Mend
+Work = ScanRows | FetchRows | RewriteRows | RepairCopy
 MOST_WAITING = 8
 LETTERS = frozenset(("compare", "compared", "rows_asked", "rows_told"))
 
@@ -35,16 +45,24 @@
     ) -> None:
         """:param feed: takes inputs of the control state; `carry`: what it would have sent or noted"""
         self.member, self.saving, self.now, self.feed, self.carry = member, saving, now, feed, carry
-        self.repair = Repair(me, Pace(), rng, now())
+        self.repair = CopyRepair(me, RepairTiming(), rng, now())
         self.waiting: deque[Work] = deque()
         self.task: asyncio.Task[None] | None = None
 
     def tick(self) -> None:
         member = self.member
         kept = self.saving.store.copy
-        copy = kept if member.held is not None else None
-        leads = member.holds(self.now())
-        self.take(Look(member.primary, leads, at(member.committed), copy, kept.written if kept else None))
+        copy = kept if member.copy is not None else None
+        leads = member.is_leader(self.now())
+        self.take(
+            ReplicaStatus(
+                member.primary_ip,
+                leads,
+                state_stamp(member.committed),
+                copy,
+                kept.generation if kept else None,
+            )
+        )
 
     def heard(self, event: control.Received) -> None:
         self.take(event)
@@ -54,7 +72,7 @@
             if isinstance(out, control.Send | LogEvent):
                 self.carry(out)
             elif (
-                not isinstance(out, Fetch) or len(self.waiting) < MOST_WAITING
+                not isinstance(out, FetchRows) or len(self.waiting) < MOST_WAITING
             ):  # who asked gives up, and asks
                 self.waiting.append(out)
         if self.task is None and self.waiting:
@@ -71,19 +89,19 @@
         """Danger: only the store's own thread may touch it while the process saves."""
         run, thread, store = self.saving.loop.run_in_executor, self.saving.thread, self.saving.store
         match out:
-            case Scan():
+            case ScanRows():
                 self.take(await run(thread, store.scan))
-            case Fetch():
-                self.take(Fetched(out, await run(thread, store.rows, out.at, out.leaves)))
-            case Rewrite():
-                await run(thread, store.forget)
-                self.feed(control.Mended(None))
-            case Mend():
-                state = await run(thread, store.mended, out.at, out.leaves, out.rows, out.root)
-                held = self.member.held
-                if state is not None and held is not None and at(held) == out.at:
-                    self.feed(control.Mended(state))
-                    facts = {"stamp": out.at, "leaves": len(out.leaves), "rows": len(out.rows)}
+            case FetchRows():
+                self.take(RowsFetched(out, await run(thread, store.read_leaves, out.stamp, out.leaves)))
+            case RewriteRows():
+                await run(thread, store.forget_rows)
+                self.feed(control.CopyRepaired(None))
+            case RepairCopy():
+                state = await run(thread, store.repaired_state, out.stamp, out.leaves, out.rows, out.root)
+                held = self.member.copy
+                if state is not None and held is not None and state_stamp(held) == out.stamp:
+                    self.feed(control.CopyRepaired(state))
+                    facts = {"stamp": out.stamp, "leaves": len(out.leaves), "rows": len(out.rows)}
                     self.carry(LogEvent(Event.COPY_MENDED, facts))
 
     def close(self) -> None:
