--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -143,7 +143,10 @@
         outside = {"asyncio", "aiohttp", "socket", "threading", "subprocess", "time", "selectors", "sqlite3"}
         pure = {"routing", "directory", "discovery", "quotas", "limits", "policy", "fleet", "duties"}
         pure |= {"membership", "datagrams", "control", "distribution"}
-        disks = {f"vetchusher.control.{name}" for name in ("store", "database_file", "formats", "archive")}
+        disks = {
+            f"vetchusher.control.{name}"
+            for name in ("store", "stored_rows", "database_file", "migration", "archive")
+        }
         disks.add("vetchusher.distribution.snapshot")
         wrong = []
         for module, path in MODULES.items():
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,6 +15,7 @@
     Received,
     ReplaceOrder,
     Replica,
+    ReplicaSettings,
     Send,
     Timing,
 )
@@ -667,7 +668,7 @@
         """A copy that was lost does not come back by a late message; a late order drops no newer copy."""
         record = first_replica_set("123")
         kept = PersistentState(5, first_state(), "1", record, has_copy=False)
-        member = Replica("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
+        member = Replica(ReplicaSettings("3", "west", "123", False), kept, random.Random(1), 0)
 
         def hear(message: ControlMessage) -> list[Output]:
             return member.handle(SECOND, Received("1", "east", message))
--- a/tests/test_control_changes.py
+++ b/tests/test_control_changes.py
@@ -14,6 +14,7 @@
     Received,
     ReplaceOrder,
     Replica,
+    ReplicaSettings,
     Send,
     Timing,
 )
@@ -80,7 +81,7 @@
     def reader(self, body: bytes, epoch: int) -> Replica:
         held = copy_state(apply_order(first_state(), ReplaceOrder(7, body)).unwrap(), (epoch, 4))
         kept = PersistentState(epoch, held, "1", first_replica_set("123"), has_copy=True)
-        return Replica("3", "west", "123", False, kept, Timing(), random.Random(1), 0)
+        return Replica(ReplicaSettings("3", "west", "123", False), kept, random.Random(1), 0)
 
     def told(self, reader: Replica, body: bytes, delta: BodyDelta) -> list[Output]:
         state = copy_state(apply_order(first_state(), ReplaceOrder(7, body)).unwrap(), (5, 1))
@@ -131,7 +132,7 @@
         self.assertEqual(([], b""), (list(first.delta.chunks), first.state.configuration))
         lacking = WriteReply(epoch=5, need_whole=True)
         whole = self.sent(self.primary.on_write_reply(0, "2", lacking))
-        again = self.sent(self.primary.send_write(0, "2", self.primary.progress.of("2")))
+        again = self.sent(self.primary.replicator.send_write(0, "2", self.primary.progress.of("2")))
         for write in (whole, again):
             self.assertFalse(write.HasField("delta"))
             self.assertEqual(self.body, write.state.configuration)
--- a/tests/test_control_membership.py
+++ b/tests/test_control_membership.py
@@ -3,8 +3,8 @@
 from testtools import TestCase
 
 from vetchusher.control import PersistentState
-from vetchusher.control.seats import MembershipView, next_members, voters_for
 from vetchusher.control.state import copy_state, first_state
+from vetchusher.control.target_members import MembershipView, next_members, voters_for
 from vetchusher.distribution.wire_pb2 import ReplicaSet
 from vetchusher.emulator.control.closure import Moment, unbearable
 
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -28,14 +28,15 @@
     Received,
     ReplaceOrder,
     Replica,
+    ReplicaSettings,
     Send,
     Store,
     Submitted,
     Tick,
-    Timing,
     archive,
     repair,
     store,
+    stored_rows,
 )
 from vetchusher.control.repair import (
     CopyRepair,
@@ -190,13 +191,14 @@
 def planted(fault: str) -> Iterator[None]:
     with contextlib.ExitStack() as stack:
         if fault == "checksums skipped":
-            stack.enter_context(mock.patch.object(store, "is_chunk_intact", lambda name, value: True))
+            for module in (store, stored_rows):
+                stack.enter_context(mock.patch.object(module, "is_chunk_intact", lambda name, value: True))
         elif fault == "missing rows do not matter":
             scan = Store.scan
 
-            def looked(self: Store) -> store.ScanResult:
+            def looked(self: Store) -> stored_rows.ScanResult:
                 found = scan(self)
-                return store.ScanResult((), found.pass_completed, found.bytes_read)
+                return stored_rows.ScanResult((), found.pass_completed, found.bytes_read)
 
             stack.enter_context(mock.patch.object(Store, "scan", looked))
         elif fault == "what is not committed is right":
@@ -343,7 +345,7 @@
 
     def test_a_row_that_rots_under_a_running_process_is_written_again(self) -> None:
         now = 0
-        member = Replica("1", "a", ["1"], True, None, Timing(), random.Random(1), 0, losses=0)
+        member = Replica(ReplicaSettings("1", "a", ["1"], True, losses=0), None, random.Random(1), 0)
         messages: list[object] = []
 
         async def main() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,12 +16,12 @@
 import testtools
 from returns.result import Failure, Success
 
-from vetchusher.control import EvacuationOrder, PersistentState, ReplaceOrder, Store, archive, formats
+from vetchusher.control import EvacuationOrder, PersistentState, ReplaceOrder, Store, archive, migration
 from vetchusher.control.chunks import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, chunk_digest, split_chunks
 from vetchusher.control.database_file import APPLICATION_ID, CREATE_ROW_TABLE, FILE_NAME
 from vetchusher.control.digests import DigestTree, field_rows, row_digests, state_from_rows
 from vetchusher.control.encoding import decode_value, encode_value, row_checksum
-from vetchusher.control.restore import imported_state_of
+from vetchusher.control.imported_state import imported_state_of
 from vetchusher.control.state import (
     apply_order,
     copy_state,
@@ -217,11 +217,13 @@
         kept = self.kept(7, routes(100), 4)
         place = self.first_format("old", kept)
         before = (place / FILE_NAME).read_bytes()
-        with mock.patch.object(formats, "run_pragmas", wraps=formats.run_pragmas) as settle:
+        with mock.patch.object(migration, "run_pragmas", wraps=migration.run_pragmas) as settle:
             link = sqlite3.connect(place / FILE_NAME, isolation_level=None)
             settle(link, ["locking_mode=EXCLUSIVE", "journal_mode=WAL", "synchronous=FULL"])
-            with mock.patch.object(formats, "run_pragmas", lambda link, pragmas: settle(link, only(pragmas))):
-                self.assertTrue(formats.migrate(link))
+            with mock.patch.object(
+                migration, "run_pragmas", lambda link, pragmas: settle(link, only(pragmas))
+            ):
+                self.assertTrue(migration.migrate(link))
             log = (place / f"{FILE_NAME}-wal").read_bytes()
         formats_seen = set()
         for length in [*range(0, len(log), 4111), len(log)]:
--- a/vetchusher/control/__init__.py
+++ b/vetchusher/control/__init__.py
@@ -1,7 +1,9 @@
-"""The control state: epochs, primary, copies, machines that lost their disk, and the store on disk.
+"""The replicated control state: what operators ordered, and which machines hold copies of it.
 
-Owns: what the operator has ordered (configuration, evacuations), and who holds copies of it; every core
-machine runs one `Replica` (pure) and one `Store` (in a thread of its own).
+Each control node runs one `Replica` (a pure state machine) and one `Store` (in a thread of its own). Modules:
+`replica` and its layers `roles` and `follower`; `election`, `voter`, `leader_lease`; `primary`,
+`replication`, `order_queue`, `orders`; `reconfiguration`, `target_members`, `progress`; `durable_state`,
+`store`, `repair`, `archive`.
 """
 
 from .messages import (
@@ -17,6 +19,7 @@
     PersistentState,
     Received,
     ReplaceOrder,
+    ReplicaSettings,
     RetrieveOrder,
     Send,
     ShutDown,
@@ -41,6 +44,7 @@
     "Received",
     "ReplaceOrder",
     "Replica",
+    "ReplicaSettings",
     "RetrieveOrder",
     "Send",
     "ShutDown",
--- a/vetchusher/control/amnesia.py
+++ b/vetchusher/control/amnesia.py
@@ -1,11 +1,15 @@
-"""A machine that came back with an empty disk: what it may have promised and accepted is asked of all others.
+"""Recovery of a machine that came back with an empty disk: the others tell what it may have voted for and
+accepted.
 
-What it held is not: it is a witness until the primary has taught it.
+What it held is not recovered: it is a witness until the primary has sent it a copy.
 
-It remembers once a majority of each electorate, itself not counted, who remember have answered: any majority
-that counted it has another voter among those.  Or once all others have answered, whoever remembers.  It asks
-only when every answer that it gave before has run out where it was counted (`lease_us` after its start): what
-it took part in is decided by then, or given up.
+It has recovered once a majority of each electorate, itself not counted, of machines with their memory intact
+have replied: any majority that counted it has another voter among those. Or once all others have replied,
+whoever is intact. It asks only when every answer that it gave before has expired where it was counted
+(`Timing.lease_duration_us` after its start): what it took part in is decided by then, or given up.
+
+Source: Viewstamped Replication Revisited (Liskov and Cowling 2012), section 4.3. All times are microseconds
+of this machine's steady clock.
 """
 
 from __future__ import annotations
@@ -21,16 +25,17 @@
     ReplicaSet,
 )
 
+from .imported_state import bootstrap_state
 from .messages import Output, PersistentState, Send, Timing
-from .restore import bootstrap_state
 from .state import first_replica_set, first_state, has_quorum, newest_replica_set, voters
 
 MAX_CALLERS = 64
 
 
 class AmnesiaRecovery:
-    """It owns the answers: one a machine asked.  Asked are the seeds, the members that others name, and
-    whoever calls."""
+    """Owner of the replies, one a machine asked: the seeds, the voters that others name, and whoever
+    calls.
+    """
 
     def __init__(
         self,
@@ -41,7 +46,10 @@
         now: int,
         imported_state: PersistentState | None = None,
     ) -> None:
-        """:param floor: what an import brought: where nobody remembers, all begin from the highest"""
+        """Begin a recovery; the first requests leave a lease's duration later.
+
+        :param imported_state: what an import brought: where nobody is intact, all begin from the highest
+        """
         self.imported_state = imported_state
         self.timing = timing
         self.own_ip = own_ip
@@ -54,6 +62,7 @@
         self.callers: set[str] = set()  # who called; whoever does may remember
 
     def tick(self, now: int) -> list[Output]:
+        """Return the requests that are due."""
         if now < max(self.first_request_at, self.last_request_at + self.timing.recovery_interval_us):
             return []
         self.last_request_at = now
@@ -61,28 +70,32 @@
         return [Send(ip, message) for ip in sorted(self.contacts()) if not self.is_intact(ip)]
 
     def contacts(self) -> set[str]:
+        """Return the machines to ask."""
         return {*self.seeds, *self.callers, *voters(self.newest_replica_set() or ReplicaSet())} - {
             self.own_ip
         }
 
     def on_contact(self, sender: str) -> None:
+        """Note a machine that called: whoever does may be intact."""
         if len(self.callers) < MAX_CALLERS:
             self.callers.add(sender)
 
     def is_intact(self, ip: str) -> bool:
+        """Return whether a machine has replied that it remembers its votes."""
         return ip in self.replies and not self.replies[ip].amnesiac
 
     def on_reply(self, sender: str, reply: RecoveryReply) -> None:
+        """Take a reply to this recovery's request."""
         if reply.round == self.round and sender in self.contacts() and not self.is_intact(sender):
             self.replies[sender] = reply
 
     def newest_replica_set(self) -> ReplicaSet | None:
-        """The newest that anybody who remembers told; None: nobody remembers yet."""
+        """Return the newest replica set that an intact machine told; None: none has replied yet."""
         replica_sets = [a.record for a in self.replies.values() if not a.amnesiac and a.record.members]
         return newest_replica_set(replica_sets) if replica_sets else None
 
     def recovered_state(self, now: int) -> PersistentState | None:
-        """What this machine may go on with, as soon as enough have answered."""
+        """Return what this machine goes on with, as soon as enough have replied; None: not yet."""
         replica_set = self.newest_replica_set()
         if replica_set is None:
             return self.bootstrap(now)
@@ -96,10 +109,11 @@
         )
 
     def bootstrap(self, now: int) -> PersistentState | None:
-        """All seeds have forgotten too, and nobody else has called: the system begins anew.
+        """Return the state of a system that begins anew: all seeds have lost their disks, and nobody else has
+        called.
 
-        Danger: members that are not among the seeds may remember, and only be on their way back; so this
-        waits long, and asks whoever calls.
+        Safety: voters that are not among the seeds may be intact and only be on their way back. So this waits
+        long (`Timing.bootstrap_delay_us`) and asks whoever calls.
         """
         all_replied = self.contacts() <= self.replies.keys()
         if (
--- a/vetchusher/control/archive.py
+++ b/vetchusher/control/archive.py
@@ -1,8 +1,9 @@
-"""A copy of the state as one file: taken out of a folder, and brought into an empty one as a floor.
+"""Export of a state as one file, and import of such a file into an empty folder.
 
-What is brought in is no memory.  A process that starts on it votes for nothing and holds nothing until it has
-heard the others (`recall`): as far as they remember, they are followed.  Only where nobody remembers anything
-the system begins anew, from the floor instead of from nothing, in epochs that no process has ever seen.
+An import brings no votes. A process that starts on it votes for nothing and holds nothing until it has
+recovered from the others (`amnesia.py`): as far as they are intact, they are followed. Only where nobody is,
+the system begins anew, from the imported state instead of from nothing, in epochs that no process has ever
+seen.
 """
 
 from __future__ import annotations
@@ -28,7 +29,9 @@
 
 
 def encode_export(contents: PersistentState) -> bytes:
-    """A line that names the form, a line with the digest of all that follows, and the rows."""
+    """Return the bytes of an export: a line with the format, a line with a digest of all that follows, and
+    the rows.
+    """
     rows, body = encode_rows(contents)
     export = SourceNews(source="control", whole=True, stamp=contents.state.stamp)
     export.rows.extend(Row(key=name, value=value) for name, value in {**rows, BODY_ROW: body}.items())
@@ -37,7 +40,7 @@
 
 
 def decode_export(data: bytes) -> Result[PersistentState, Fault]:
-    """What `packed` was given; any other byte anywhere is a failure in a line."""
+    """Return what `encode_export` was given; any other byte anywhere is a failure of one line."""
     header, _, remainder = data.partition(b"\n")
     if not header.startswith(EXPORT_PREFIX) or not header.removeprefix(EXPORT_PREFIX).isdigit():
         return failure("is no export of this system")
@@ -56,12 +59,12 @@
 
 
 def is_intact(data: bytes, contents: PersistentState) -> bool:
-    """Whether nothing else could have been written; the digest is part of it."""
+    """Return whether nothing else could have been written; the digest is part of it."""
     return encode_export(contents) == data
 
 
 def write_export(path: Path, contents: PersistentState) -> Result[None, Fault]:
-    """Whole and synced, or nothing; a file that is there stays."""
+    """Write an export completely and synced, or nothing; a file that exists stays."""
     temporary = path.with_name(f"{path.name}.new")
     try:
         if path.exists():
@@ -78,6 +81,7 @@
 
 
 def read_export(path: Path) -> Result[PersistentState, Fault]:
+    """Read an export."""
     try:
         return decode_export(path.read_bytes())
     except OSError as error:
@@ -85,7 +89,7 @@
 
 
 def import_into(folder: Path, imported_state: PersistentState) -> Result[None, Fault]:
-    """Into a folder that is empty or absent: whole and synced, or nothing."""
+    """Write an imported state into a folder that is empty or absent: completely and synced, or nothing."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.iterdir()):
@@ -97,4 +101,5 @@
 
 
 def failure(text: str) -> Failure[Fault]:
+    """Return a failure of the kind `BAD_STORE`."""
     return Failure(Fault(Kind.BAD_STORE, text))
--- a/vetchusher/control/chunks.py
+++ b/vetchusher/control/chunks.py
@@ -18,7 +18,7 @@
 
 
 def split_chunks(body: bytes) -> list[bytes]:
-    """Chunks that make the body again when they are put together; none of an empty one."""
+    """Return the chunks that make the body again when they are joined; none of an empty one."""
     chunks, start = [], 0
     while start < len(body):
         end = chunk_end(body, start)
@@ -28,6 +28,7 @@
 
 
 def chunk_end(body: bytes, start: int) -> int:
+    """Return where the chunk that begins at `start` ends."""
     limit = min(start + MAX_CHUNK_BYTES, len(body))
     previous = body.find(CLOSING_BRACE, start + MIN_CHUNK_BYTES, limit)
     while previous >= 0:
@@ -39,9 +40,10 @@
 
 
 def chunk_digest(chunk: bytes) -> bytes:
+    """Return the name of a chunk: the digest of its content."""
     return blake3(chunk).digest(DIGEST_BYTES)
 
 
 def parse_manifest(manifest: bytes) -> list[bytes]:
-    """Names of the chunks in a manifest, in their order."""
+    """Return the digests of the chunks in a manifest, in their order."""
     return [manifest[at : at + DIGEST_BYTES] for at in range(0, len(manifest), DIGEST_BYTES)]
--- a/vetchusher/control/database_file.py
+++ b/vetchusher/control/database_file.py
@@ -1,4 +1,4 @@
-"""The store's file: whether one is ours, how a new one comes to its place, how it is opened."""
+"""The store's database file: whether it is ours, how a new one gets to its path, how it is opened."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 class FileError(Exception):
-    """A file that must stay as it is; one line."""
+    """A file that must stay as it is; the text is one line."""
 
 
 def is_corruption(error: sqlite3.Error) -> bool:
-    """Whether sqlite says that the file itself is damaged."""
+    """Return whether sqlite reports that the file itself is damaged."""
     return (getattr(error, "sqlite_errorcode", 0) & 0xFF) in CORRUPTION_CODES
 
 
 def why_foreign(path: Path) -> str:
-    """Why a file is not ours to open; empty: it is, or there is none.  It is only read."""
+    """Return why a file is not ours to open; empty: it is, or there is none. The file is only read."""
     if not path.exists():
         return ""
     header = read_header(path)
@@ -50,23 +50,26 @@
 
 
 def read_header(path: Path) -> bytes:
+    """Return the first bytes of a database file."""
     with path.open("rb") as file:
         return file.read(HEADER_BYTES)
 
 
 def format_in_header(path: Path) -> int:
-    """The format by the file's head, without opening it; 0: it has none.  A log beside it may know better."""
+    """Return the format by the file's header, without opening it; 0: it has none. A log beside it may know
+    better.
+    """
     header = read_header(path)
     return int(struct.unpack_from(">I", header, FORMAT_OFFSET)[0]) if len(header) == HEADER_BYTES else 0
 
 
 def why_too_new(version: int) -> str:
+    """Return why this release cannot read a format; empty: it can."""
     return f"format {version} is newer than {FORMAT}" if version > FORMAT else ""
 
 
 def create_database(folder: Path, fill: Callable[[sqlite3.Connection], None] = lambda link: None) -> None:
-    """An empty store, made beside its place and moved there whole: a loss of power leaves none, or a good
-    one.
+    """Create an empty database beside its path and move it there: a loss of power leaves none, or a good one.
 
     :param fill: writes what it holds from the first
     """
@@ -89,13 +92,15 @@
 
 
 def set_aside_damaged(folder: Path) -> None:
-    """A file that cannot be used, for people to look at; there is never more than one."""
+    """Rename a file that cannot be used, for people to look at; there is never more than one."""
     if (folder / FILE_NAME).exists():
         (folder / FILE_NAME).replace(folder / f"{FILE_NAME}.bad")
 
 
 def connect(path: Path, max_bytes: int = 0) -> sqlite3.Connection:
-    """:raises FileError: it is of a newer format, which only its log says
+    """Open the database for this process alone.
+
+    :raises FileError: it is of a newer format, which only its log says
     :raises sqlite3.DatabaseError: also where sqlite's own check finds damage
     """
     connection = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=LOCK_TIMEOUT_S)
@@ -122,7 +127,7 @@
 
 
 def quick_check(connection: sqlite3.Connection) -> None:
-    """sqlite's look at its own pages, for as long as a start can wait."""
+    """Let sqlite check its own pages, for as long as a start can wait."""
     deadline = time.monotonic() + QUICK_CHECK_TIMEOUT_S
     connection.set_progress_handler(lambda: time.monotonic() > deadline, QUICK_CHECK_STEPS)
     try:
@@ -140,16 +145,19 @@
 
 
 def stored_format(connection: sqlite3.Connection) -> int:
+    """Return the format that the database states."""
     ((version,),) = connection.execute("PRAGMA user_version").fetchall()
     return int(version)
 
 
 def run_pragmas(connection: sqlite3.Connection, pragmas: Iterable[str]) -> None:
+    """Run each pragma."""
     for pragma in pragmas:
         connection.execute(f"PRAGMA {pragma}").fetchall()
 
 
 def fsync_path(path: Path) -> None:
+    """Sync a file or folder."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
--- a/vetchusher/control/deltas.py
+++ b/vetchusher/control/deltas.py
@@ -1,9 +1,9 @@
-"""A configuration as it is sent to a machine that holds another one: its chunks' names, and the chunks that
-the reader lacks.
+"""A configuration as it is sent to a machine that holds another one: the digests of its chunks, and the
+chunks that the receiver lacks.
 
-Chunks are named by their content, so what a reader puts together is the body that was sent, whichever version
-and epoch wrote the body that it holds.  Where a named chunk is not there, nothing is put together, and the
-reader asks for the whole.
+Chunks are named by their content, so what a receiver puts together is the body that was sent, whichever
+version and epoch wrote the body that it holds. Where a named chunk is missing, nothing is put together, and
+the receiver asks for the whole body.
 """
 
 from __future__ import annotations
@@ -19,12 +19,14 @@
 
 
 def digested_chunks(body: bytes) -> list[tuple[bytes, bytes]]:
-    """Chunks with their names, in their order."""
+    """Return the chunks of a body with their digests, in their order."""
     return [(chunk_digest(chunk), chunk) for chunk in split_chunks(body)]
 
 
 def make_delta(held_digests: Iterable[bytes], chunks: list[tuple[bytes, bytes]]) -> BodyDelta | None:
-    """What a reader lacks that holds chunks of those names; None: the whole is hardly larger."""
+    """Return what a receiver lacks that holds chunks of these digests; None: the whole body is hardly
+    larger.
+    """
     known = frozenset(held_digests)
     missing = {name: chunk for name, chunk in chunks if name not in known}
     size = DIGEST_BYTES * len(chunks) + sum(map(len, missing.values()))
@@ -34,7 +36,9 @@
 
 
 def apply_delta(delta: BodyDelta, held_body: bytes) -> bytes | None:
-    """The body that was sent, from a delta and the body held here; None: a chunk of it is in neither."""
+    """Return the body that was sent, from a delta and the body held here; None: a chunk of it is in
+    neither.
+    """
     known = dict(digested_chunks(held_body)) | {chunk_digest(chunk): chunk for chunk in delta.chunks}
     names = parse_manifest(delta.manifest)
     if any(name not in known for name in names):
@@ -43,10 +47,10 @@
 
 
 class ConfigurationHistory:
-    """It owns the names of the newest body's chunks and of the one's before, and the delta between the two.
+    """Owner of the newest body and the one before, and of the delta between the two.
 
-    :param since: from which stamp on copies of this epoch have the newest body
-    :param former_since: the same of the body before
+    :param current_since: from which stamp on copies of this epoch have the newest body
+    :param previous_since: the same of the body before
     """
 
     def __init__(self) -> None:
@@ -60,20 +64,21 @@
         self.is_cached = False
 
     def advance(self, stamp: StampTuple, current: bytes, previous: bytes, previous_since: StampTuple) -> None:
-        """A write under that stamp carries another body, or is the first of its epoch."""
+        """Take the body of a write that carries another one, or is the first of its epoch."""
         self.previous_digests = self.current_digests if previous == self.current else ()
         self.current_since, self.previous_since = stamp, previous_since
         self.current, self.previous, self.current_digests = current, previous, ()
         self.cached_delta, self.is_cached = None, False
 
     def delta(self) -> BodyDelta | None:
-        """For a reader that holds the former body; made once for all readers."""
+        """Return the delta for a receiver that holds the previous body; computed once for all receivers."""
         if not self.is_cached:
             self.cached_delta, self.is_cached = self.compute_delta(), True
             self.previous = b""
         return self.cached_delta
 
     def compute_delta(self) -> BodyDelta | None:
+        """Compute the delta; None: there is no previous body, or a delta does not pay."""
         if not self.current or not self.previous:
             return None
         chunks = digested_chunks(self.current)
--- a/vetchusher/control/digests.py
+++ b/vetchusher/control/digests.py
@@ -1,8 +1,8 @@
-"""Digests over ranges: two copies of the state find out by few bytes where they differ.
+"""A digest tree over the rows of a state: two copies find out with few bytes where they differ.
 
-The state as rows: a chunk of the configuration, an evacuation, a further field each.  A row belongs to one of
-256 leaves, by its key; sixteen leaves make a node, sixteen nodes the root.  Digests are taken over the rows'
-own digests, which whoever keeps the chunks knows: no content is read for them.
+A row is a chunk of the configuration, an evacuation, or one further field. A row belongs to one of 256
+leaves, by its key; sixteen leaves make a node, sixteen nodes the root. Digests are taken over the rows' own
+digests, which whoever keeps the chunks knows: no content is read for them. Source: Merkle 1987.
 """
 
 from __future__ import annotations
@@ -28,19 +28,24 @@
 
 
 def digest(value: bytes) -> bytes:
+    """Return a digest of 16 bytes."""
     return blake3(value).digest(DIGEST_BYTES)
 
 
 def leaf_of(key: str) -> int:
+    """Return the number of the leaf to which a row belongs."""
     return digest(key.encode())[0]
 
 
 def chunk_key(number: int) -> str:
+    """Return the key of a chunk's row, by its position in the configuration."""
     return f"{CHUNK}{number:08d}"
 
 
 def field_rows(state: ControlState) -> dict[str, bytes]:
-    """Rows of all but the configuration; a field that this program does not know is part of none."""
+    """Return the rows of all but the configuration; a field that this release does not know is in none of
+    them.
+    """
     rows = {f"{EVACUATION}{e.zone}": e.SerializeToString(deterministic=True) for e in state.evacuations}
     bare = ControlState()
     bare.CopyFrom(state)
@@ -57,15 +62,18 @@
 
 
 def row_digests(state: ControlState, chunks: Iterable[bytes]) -> dict[str, bytes]:
-    """:param chunks: names (digests) of the configuration's chunks, in their order"""
+    """Return the digests of a state's rows by key.
+
+    :param chunks: digests of the configuration's chunks, in their order
+    """
     digests = {key: digest(value) for key, value in field_rows(state).items()}
     return digests | {chunk_key(number): name for number, name in enumerate(chunks)}
 
 
 def state_from_rows(rows: Mapping[str, bytes]) -> ControlState:
-    """The state of whole rows, without its stamp.
+    """Return the state of all rows, without its stamp.
 
-    :raises DecodeError: rows that are none
+    :raises DecodeError: a row is malformed
     """
     state = ControlState()
     for key, value in sorted(rows.items()):
@@ -80,13 +88,16 @@
 
 @dataclass(slots=True, frozen=True)
 class DigestTree:
-    """:param levels: the root; its nodes; their leaves"""
+    """The digests of a state's rows, summed up level by level.
+
+    :param levels: the root; its nodes; their leaves
+    """
 
     levels: tuple[tuple[bytes, ...], ...]
 
     @staticmethod
     def of_rows(digests: Mapping[str, bytes]) -> DigestTree:
-        """:param digests: of the rows, by key"""
+        """Build the tree over the rows' digests, by key."""
         leaves: list[list[str]] = [[] for _ in range(LEAVES)]
         for key in sorted(digests):
             leaves[leaf_of(key)].append(key)
@@ -99,10 +110,11 @@
 
     @property
     def root(self) -> bytes:
+        """The digest over everything."""
         return self.levels[0][0]
 
     def range_digests(self, level: int, ranges: Sequence[int]) -> dict[int, bytes]:
-        """Digests at a level, of the ranges that lie below those of the level above."""
+        """Return the digests at a level, of the ranges below those of the level above."""
         if not 0 <= level <= DEPTH:
             return {}
         if level == 0:
@@ -111,6 +123,7 @@
         return {number: self.levels[level][number] for number in children if number < len(self.levels[level])}
 
     def differing_ranges(self, level: int, other: Mapping[int, bytes]) -> list[int]:
+        """Return the ranges of a level whose digests differ from another tree's."""
         own = self.levels[level]
         return [
             number for number, value in sorted(other.items()) if number < len(own) and own[number] != value
--- a/vetchusher/control/durable_state.py
+++ b/vetchusher/control/durable_state.py
@@ -1,4 +1,6 @@
-"""What this machine promised, accepted and holds, how much of it is on disk, and what waits for that."""
+"""What this machine voted for, accepted and holds, how much of it is on disk, and the messages that wait for
+that.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +12,11 @@
 
 
 class DurableState:
-    """It owns the promise, the record, the copy, and the messages that wait for the disk: of each kind the
-    newest for each reader, removed as they are told.
+    """Owner of the vote, the replica set, the copy, and the messages that wait for the disk.
 
-    One `Persist` is under way at a time; what changes meanwhile goes with the next, so a hanging disk costs
-    no memory.
+    Of each kind of message the newest for each receiver waits; it is removed as it is sent. One `Persist` is
+    in flight at a time. What changes meanwhile goes with the next, so a disk that hangs costs no memory. Each
+    change of the contents gets the next revision.
     """
 
     def __init__(self, timing: Timing, contents: PersistentState, on_disk: bool) -> None:
@@ -37,20 +39,25 @@
         self.pending_messages: dict[tuple[str, str], tuple[int, ControlMessage]] = {}
 
     def record_vote(self, epoch: int, candidate: str) -> None:
-        """:param owner: the candidate of that epoch, or its primary: a majority took another than this one"""
+        """Vote for the candidate of an epoch; an epoch lower than the one voted for is ignored.
+
+        :param candidate: the candidate, or the primary that a majority voted for where this machine's vote
+            was another
+        """
         if (epoch, candidate) != (self.voted_epoch, self.voted_for) and epoch >= self.voted_epoch:
             self.voted_epoch, self.voted_for = epoch, candidate
             self.revision += 1
             self.vote_revision = self.revision
 
     def accept_replica_set(self, replica_set: ReplicaSet) -> None:
+        """Accept a replica set that is newer than the one held."""
         if replica_set_id(replica_set) > replica_set_id(self.replica_set):
             self.replica_set = replica_set
             self.revision += 1
             self.vote_revision = self.revision
 
     def restore(self, contents: PersistentState) -> None:
-        """All that a machine recalled which had forgotten."""
+        """Take over what an amnesiac recovered from the others."""
         self.voted_epoch, self.voted_for, self.replica_set = (
             contents.voted_epoch,
             contents.voted_for,
@@ -61,19 +68,21 @@
         self.vote_revision = self.state_revision = self.revision
 
     def store_copy(self, state: ControlState) -> None:
+        """Hold a state as this machine's copy."""
         self.state, self.has_copy = state, True
         self.revision += 1
         self.state_revision = self.revision
 
     def drop_copy(self) -> None:
+        """Hold no copy any longer."""
         self.state, self.has_copy = ControlState(), False
         self.revision += 1
         self.state_revision = self.revision
 
     def repair_copy(self, state: ControlState | None) -> None:
-        """Danger: what has been written under a later stamp meanwhile must stay.
+        """Write a repaired copy. Safety: a state that was written under a later stamp meanwhile stays.
 
-        :param state: None: what lies on the disk is not what is held
+        :param state: None: write all that is held once more, as the disk holds something else
         """
         if state is None:
             self.revision += 1
@@ -83,14 +92,14 @@
             self.store_copy(state)
 
     def send_when_synced(self, to: str, message: ControlMessage, revision: int) -> list[Output]:
-        """At once if the contents of that number are on disk, else when they are."""
+        """Send a message once the contents of a revision are on disk; at once if they are."""
         if revision <= self.synced_revision:
             return [Send(to, message)]
         self.pending_messages[to, str(message.WhichOneof("kind"))] = (revision, message)
         return []
 
     def persist_changes(self, now: int) -> list[Output]:
-        """What is to be saved, if anything."""
+        """Return the write to be synced, if anything changed and none is in flight."""
         if self.persisting is not None or self.revision == self.synced_revision or now < self.retry_at:
             return []
         contents = PersistentState(
@@ -100,6 +109,7 @@
         return [Persist(*self.persisting)]
 
     def on_persisted(self, now: int, token: int, synced: bool) -> list[Output]:
+        """Take the outcome of a write and return the messages that waited for it."""
         if self.persisting is None or self.persisting[0] != token:
             return []
         (revision, contents), self.persisting = self.persisting, None
--- a/vetchusher/control/election.py
+++ b/vetchusher/control/election.py
@@ -1,11 +1,13 @@
-"""One candidacy: who may be asked, which epoch, whose promises.
+"""One candidacy: which machines are asked, for which epoch, and with which replies it is won.
 
-First only questions (epoch 0): a machine that hears nobody, that nobody would vote for, or that the newest
-record does not name, raises no promise anywhere.  Then its own promise is synced, and only then others are
-asked: an epoch has one candidate.
+First come pre-votes (requests of epoch 0), so that a machine which hears nobody, for which nobody would vote,
+or which the newest replica set does not name, raises no epoch anywhere. Then its own vote is synced, and only
+then others are asked for theirs: an epoch has one candidate.
 
-Only a machine that holds a copy stands.  Its copy has all that was ever acknowledged if the newest record
-names it: so no state is fetched, and witnesses tell what they accepted only.
+Only a machine that holds a copy stands. Its copy has everything that was ever acknowledged if the newest
+replica set names it. So no state is fetched, and witnesses report only what they accepted.
+
+All times are microseconds of this machine's steady clock.
 """
 
 from __future__ import annotations
@@ -20,14 +22,17 @@
 
 
 class Stage(Enum):
+    """How far a candidacy is."""
+
     PRE_VOTE = auto()
     PERSISTING_OWN_VOTE = auto()  # of its own promise
     REQUESTING_VOTES = auto()
 
 
 class Candidate:
-    """It owns what others answered; bounded by the members known.  `Replica` drops it when its time is
-    over."""
+    """Owner of the replies to one candidacy, bounded by the voters known; `Replica` drops it when it times
+    out.
+    """
 
     def __init__(
         self,
@@ -38,7 +43,11 @@
         now: int,
         released_epoch: int = 0,
     ) -> None:
-        """:param released: an epoch whose primary has handed over to this machine"""
+        """Prepare a candidacy; `request_pre_votes` begins it.
+
+        :param failed_elections: candidacies in a row that came to nothing; each waits longer for replies
+        :param released_epoch: epoch whose primary has handed its lease over to this machine; 0: none
+        """
         self.timing = timing
         self.durable = durable
         self.own_ip = own_ip
@@ -48,19 +57,20 @@
             timing.pre_vote_timeout_us << min(failed_elections, 8), timing.vote_timeout_us
         )
         self.stage = Stage.PRE_VOTE
-        self.stage_began_at = now  # of the stage
+        self.stage_began_at = now
         self.epoch = 0
-        self.highest_epoch_seen = durable.voted_epoch  # that anybody promised
+        self.highest_epoch_seen = durable.voted_epoch  # of any vote
         self.pre_votes: dict[str, VoteReply] = {}
         self.votes: dict[str, VoteReply] = {}
         self.unanswered: set[str] = set()
         self.requested: set[str] = set()
 
     def request_pre_votes(self) -> list[Output]:
-        """Asks all members what they would say."""
+        """Ask all voters known whether they would vote for this machine."""
         return self.request_from_voters(self.durable.replica_set)
 
     def request_from_voters(self, replica_set: ReplicaSet) -> list[Output]:
+        """Send the request of this stage to the voters of a replica set that were not asked yet."""
         new = [ip for ip in sorted(voters(replica_set)) if ip != self.own_ip and ip not in self.requested]
         self.requested.update(new)
         self.unanswered.update(new)
@@ -68,7 +78,9 @@
         return [Send(ip, ControlMessage(ask=request)) for ip in new]
 
     def timed_out(self, now: int) -> bool:
-        """Danger: a promise counts no longer than any answer (`primary`), so neither does a candidacy."""
+        """Return whether the stage is over. Safety: a vote counts no longer than any reply
+        (`Timing.answer_valid_us`), so neither does a candidacy.
+        """
         if self.stage is Stage.PRE_VOTE:
             return now >= self.stage_began_at + (
                 self.pre_vote_timeout_us if self.unanswered else self.timing.pre_vote_timeout_us
@@ -78,6 +90,9 @@
         )
 
     def on_reply(self, sender: str, reply: VoteReply) -> list[Output]:
+        """Take a reply; its replica set may name voters that this machine did not know, who are asked
+        next.
+        """
         self.highest_epoch_seen = max(self.highest_epoch_seen, reply.promised)
         if sender not in self.requested or reply.epoch != self.epoch:
             return []
@@ -93,14 +108,19 @@
         )  # it may name members that this machine did not know
 
     def replies(self) -> dict[str, VoteReply]:
+        """Return the favourable replies of this stage."""
         return self.pre_votes if self.stage is Stage.PRE_VOTE else self.votes
 
     def newest_replica_set(self, replies: dict[str, VoteReply]) -> ReplicaSet:
+        """Return the newest replica set of this machine and of the replies."""
         return newest_replica_set([self.durable.replica_set, *(a.record for a in replies.values())])
 
     def has_quorum(self, replies: dict[str, VoteReply]) -> bool:
-        """Whether a majority of each electorate of the newest record answered, and it names this machine's
-        copy.  An older record's voters are met on the way there: a change of voters names both sets."""
+        """Return whether a majority of each electorate of the newest replica set replied, and it names this
+        copy.
+
+        The voters of an older set are met on the way there: a change of voters names both electorates.
+        """
         replica_set = self.newest_replica_set(replies)
         if (
             not self.durable.has_copy
@@ -116,16 +136,17 @@
         )
 
     def may_request_votes(self) -> bool:
+        """Return whether the pre-votes suffice."""
         return self.stage is Stage.PRE_VOTE and self.has_quorum(self.pre_votes)
 
     def choose_epoch(self, now: int) -> None:
-        """Promises itself an epoch that nobody is known to have promised."""
+        """Vote for this machine in an epoch higher than any known vote."""
         self.epoch = max(self.highest_epoch_seen, self.durable.voted_epoch) + 1
         self.durable.record_vote(self.epoch, self.own_ip)
         self.stage, self.stage_began_at = Stage.PERSISTING_OWN_VOTE, now
 
     def request_votes_when_synced(self, now: int) -> list[Output]:
-        """Its own promise is on disk: now the others."""
+        """Ask the others for their votes as soon as this machine's own is on disk."""
         if self.stage is not Stage.PERSISTING_OWN_VOTE or self.durable.synced_voted_epoch < self.epoch:
             return []
         self.stage, self.stage_began_at = Stage.REQUESTING_VOTES, now
@@ -133,4 +154,5 @@
         return self.request_from_voters(self.durable.replica_set)
 
     def is_elected(self) -> bool:
+        """Return whether the votes suffice."""
         return self.stage is Stage.REQUESTING_VOTES and self.has_quorum(self.votes)
--- a/vetchusher/control/witness.py
+++ b/vetchusher/control/follower.py
@@ -1,10 +1,13 @@
-"""What a core machine does on another's word: it promises, follows a primary, keeps a copy, drops it.
+"""What a control node does on another machine's message: vote, follow a primary, store or drop a copy.
 
-Witness and backup are one: a backup is a witness that was taught.
+Witness and backup are one role: a backup is a witness that was sent a copy.  All times are microseconds of
+this machine's steady clock.
 """
 
 from __future__ import annotations
 
+from abc import ABC, abstractmethod
+
 from vetchusher.distribution.wire_pb2 import (
     ControlMessage,
     ControlState,
@@ -37,49 +40,50 @@
 from .voter import Voter
 
 
-class Follower:
-    """It owns what this machine took from primaries: what is committed, and when that was last said."""
+class Follower(ABC):
+    """Owner of what primaries reported: what is committed, and when that was last said."""
 
     def __init__(self, durable: DurableState, voter: Voter, incarnation: int, now: int) -> None:
-        """:param life: of this process; messages to another are not for it"""
+        """:param incarnation: of this process; writes sent to another one are not accepted"""
         self.durable = durable
         self.voter = voter
         self.incarnation = incarnation
-        self.trusts_messages_from = (
-            now  # messages heard before it may have waited here while this machine stood still
-        )
-        self.reported_commit: tuple[StampTuple, int] | None = (
-            None  # what the primary last said is in force, and when
-        )
-        self.reconfiguration_until = now  # as the primary last said: until then voters may be about to change
+        # Messages received earlier may have waited here while this process was paused.
+        self.trusts_messages_from = now
+        # The stamp that the primary last reported as committed, and when; None: not lately.
+        self.reported_commit: tuple[StampTuple, int] | None = None
+        self.reconfiguration_until = now  # as the primary last said: until then the voters may change
         self._committed = ControlState()
         self.outputs: list[Output] = []
 
-    # -- of the whole member -------------------------------------------------------------------
+    # -- what depends on the other roles of this machine ------------------------------------------
 
     @property
+    @abstractmethod
     def is_amnesiac(self) -> bool:
-        raise NotImplementedError
+        """Whether this machine lost its disk and has not recovered its votes from the others."""
 
+    @abstractmethod
     def vote_delay(self, now: int, candidate: str, released_epoch: int = 0) -> int:
-        """For how long (us) this machine promises that candidate nothing."""
-        raise NotImplementedError
+        """Return for how long (us) this machine grants that candidate no vote."""
 
+    @abstractmethod
     def give_up_leadership(self, reason: str) -> None:
-        """It leads no more, and does not stand."""
-        raise NotImplementedError
+        """Stop being primary or candidate."""
 
+    @abstractmethod
     def on_join(self, now: int, join: Join) -> None:
-        raise NotImplementedError
+        """Take, or forward to the primary, the request of a machine that does not vote."""
 
-    # -- promises ------------------------------------------------------------------------------
+    # -- votes ----------------------------------------------------------------------------------
 
     def on_vote_request(self, now: int, sender: str, request: VoteRequest) -> None:
+        """Answer a vote request; one of epoch 0 is a pre-vote, which promises nothing."""
         delay = self.vote_delay(now, sender, request.released)
         if request.epoch == 0:
             delay = max(delay, self.voter.election_back_off(now, sender))
             if sender not in voters(self.durable.replica_set) and not self.is_amnesiac:
-                self.on_join(now, Join(ip=sender))  # it was left out while it was away
+                self.on_join(now, Join(ip=sender))  # it was removed while it was away
         elif not self.is_amnesiac and not delay and request.epoch > self.durable.voted_epoch:
             self.grant_vote(now, sender, request.epoch)
             return
@@ -88,7 +92,7 @@
         self.outputs.append(Send(sender, ControlMessage(granted=reply)))
 
     def vote_reply(self, epoch: int) -> VoteReply:
-        """What a voter that remembers tells of itself: its promise, its record, and whether it has a copy."""
+        """Return a reply with this machine's vote, replica set and stamp, but for an amnesiac's."""
         durable = self.durable
         reply = VoteReply(epoch=epoch, promised=durable.voted_epoch, amnesiac=self.is_amnesiac)
         if not self.is_amnesiac:
@@ -98,19 +102,20 @@
         return reply
 
     def grant_vote(self, now: int, sender: str, epoch: int) -> None:
+        """Vote for a candidate; it is told once the vote is on disk."""
         self.give_up_leadership("a higher epoch was promised")
         self.voter.defer_to(now, sender)
         self.durable.record_vote(epoch, sender)
         reply = self.vote_reply(epoch)
         reply.granted = True
-        self.outputs += self.durable.send_when_synced(
-            sender, ControlMessage(granted=reply), self.durable.revision
-        )
+        message = ControlMessage(granted=reply)
+        self.outputs += self.durable.send_when_synced(sender, message, self.durable.revision)
         self.log_event(Event.EPOCH_PROMISED, epoch=epoch, to=sender)
 
+    # -- a primary's messages -------------------------------------------------------------------
+
     def follow(self, now: int, sender: str, epoch: int) -> bool:
-        """Takes the sender for the primary of an epoch, and gives it a lease, unless a higher one is
-        promised."""
+        """Accept the sender as primary of an epoch and grant it a lease, unless a higher epoch has a vote."""
         if self.is_amnesiac or epoch == 0 or epoch < self.durable.voted_epoch:
             return False
         self.give_up_leadership("another is the primary of a later epoch")
@@ -118,15 +123,13 @@
         self.voter.grant_lease(now, sender)
         return True
 
-    # -- a primary's messages -------------------------------------------------------------------
-
     def on_lease_renewal(self, now: int, sender: str, renewal: LeaseRenewal) -> None:
-        reply = LeaseRenewalReply(
-            epoch=renewal.epoch, round=renewal.round, accepted=self.follow(now, sender, renewal.epoch)
-        )
+        """Grant the lease anew and report what is on this disk."""
+        is_accepted = self.follow(now, sender, renewal.epoch)
+        reply = LeaseRenewalReply(epoch=renewal.epoch, round=renewal.round, accepted=is_accepted)
         durable = self.durable
         reply.promised, reply.amnesiac = durable.voted_epoch, self.is_amnesiac
-        if not reply.accepted:
+        if not is_accepted:
             self.outputs.append(Send(sender, ControlMessage(renewed=reply)))
             return
         if renewal.record.members:
@@ -137,35 +140,49 @@
         self.learn_commit(now, renewal.committed)
         if renewal.changing:
             self.reconfiguration_until = now + self.voter.timing.contact_timeout_us
-        # Danger: an epoch taken from its primary is a promise too: like a record, told only from the disk.
-        self.outputs += durable.send_when_synced(sender, ControlMessage(renewed=reply), durable.vote_revision)
+        # Safety: an epoch accepted from its primary is a vote too; like a replica set it is reported only
+        # once it is on disk.
+        message = ControlMessage(renewed=reply)
+        self.outputs += durable.send_when_synced(sender, message, durable.vote_revision)
 
     def on_write(self, now: int, sender: str, write: Write) -> None:
-        # Danger: what was sent to the process before this one may be older than what its lost disk had.
-        to_this_incarnation = write.life == self.incarnation
-        reply = WriteReply(
-            epoch=write.epoch, accepted=to_this_incarnation and self.follow(now, sender, write.epoch)
-        )
+        """Store a primary's write; the reply leaves once it is on disk."""
+        # Safety: what was sent to an earlier process may be older than what its lost disk had.
+        is_for_this_process = write.life == self.incarnation
+        is_accepted = is_for_this_process and self.follow(now, sender, write.epoch)
+        reply = WriteReply(epoch=write.epoch, accepted=is_accepted)
         reply.promised = self.durable.voted_epoch
-        if not reply.accepted:
+        if not is_accepted:
+            self.outputs.append(Send(sender, ControlMessage(written=reply)))
+            return
+        if not self.store_newer(write):
+            reply.accepted, reply.need_whole = False, True
             self.outputs.append(Send(sender, ControlMessage(written=reply)))
             return
-        if not self.durable.has_copy or state_stamp(write.state) > state_stamp(self.durable.state):
-            state: ControlState | None = write.state
-            if write.state.configuration_left_out:
-                state = complete_state(write, self.durable.state) if self.durable.has_copy else None
-            if state is None:
-                reply.accepted, reply.need_whole = False, True
-                self.outputs.append(Send(sender, ControlMessage(written=reply)))
-                return
-            self.durable.store_copy(state)
         reply.stamp.CopyFrom(self.durable.state.stamp)
         revision = max(self.durable.state_revision, self.durable.vote_revision)
-        self.outputs += self.durable.send_when_synced(sender, ControlMessage(written=reply), revision)
+        message = ControlMessage(written=reply)
+        self.outputs += self.durable.send_when_synced(sender, message, revision)
         self.learn_commit(now, write.committed)
 
+    def store_newer(self, write: Write) -> bool:
+        """Store the state of a write unless the copy here is as new.
+
+        :returns: False: the write left out a configuration that is not held here
+        """
+        durable = self.durable
+        if durable.has_copy and state_stamp(write.state) <= state_stamp(durable.state):
+            return True
+        state: ControlState | None = write.state
+        if write.state.configuration_left_out:
+            state = complete_state(write, durable.state) if durable.has_copy else None
+        if state is None:
+            return False
+        durable.store_copy(state)
+        return True
+
     def on_drop(self, sender: str, drop: Drop) -> None:
-        """The record that stands does not name this machine: a witness keeps no state."""
+        """Drop the copy: the established replica set does not name this machine, and a witness has none."""
         durable = self.durable
         if self.is_amnesiac or drop.epoch != durable.voted_epoch or durable.voted_for != sender:
             return
@@ -173,25 +190,28 @@
             durable.drop_copy()
 
     def learn_commit(self, now: int, committed: Stamp) -> None:
-        """The primary, under its lease, said what is committed."""
-        if stamp_tuple(committed) == ZERO_STAMP:
+        """Take what the primary, under its lease, reported as committed."""
+        stamp = stamp_tuple(committed)
+        if stamp == ZERO_STAMP:
             return
-        if self.durable.has_copy and stamp_tuple(committed) == state_stamp(self.durable.state):
+        if self.durable.has_copy and stamp == state_stamp(self.durable.state):
             self.advance_commit(self.durable.state)
         if now >= self.trusts_messages_from:
-            self.reported_commit = stamp_tuple(committed), now
+            self.reported_commit = stamp, now
 
     def advance_commit(self, state: ControlState) -> None:
+        """Take a state as committed here; the committed stamp never goes back."""
         if state_stamp(state) > state_stamp(self._committed):
             self._committed = state
             self.outputs.append(Committed(state))
 
     def log_event(self, event: Event, **facts: object) -> None:
+        """Emit one event for the log."""
         self.outputs.append(LogEvent(event, facts))
 
 
 def complete_state(write: Write, copy: ControlState) -> ControlState | None:
-    """The state of a write without its configuration, from the copy held here; None: that is not enough."""
+    """Fill in a configuration that a write left out, from the copy held here; None: that is not enough."""
     if not write.HasField("delta"):
         return with_configuration(write.state, copy)
     body = apply_delta(write.delta, copy.configuration)
--- a/vetchusher/control/restore.py
+++ b/vetchusher/control/imported_state.py
@@ -1,4 +1,4 @@
-"""What an import brings: no memory, only where to begin from if nobody remembers anything."""
+"""What an import brings: no votes, only a state to begin from where every machine has lost its disk."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def imported_state_of(exported: PersistentState, seconds: int) -> PersistentState:
-    """The same state under an epoch above all that any process may have seen.
+    """Return an exported state under an epoch above all that any process may have seen.
 
-    Danger: ingresses take nothing under a stamp below one that they know.  Epochs grow by one at each
-    change of the primary, so far less than one a second: the time of day is above those of any earlier
-    import, and where that clock is wrong, the leap is above those of the exported core.
+    Safety: ingresses take nothing under a stamp below one that they know. Epochs grow by one at each change
+    of the primary, so far less than one a second. Hence the time of day is above those of any earlier import,
+    and where that clock is wrong, the leap is above those of the exported control nodes.
 
     :param seconds: of the time of day, since 1970
     """
@@ -29,7 +29,7 @@
 def bootstrap_state(
     imported_states: Sequence[ControlState], members: Sequence[str]
 ) -> PersistentState | None:
-    """What all machines that have forgotten begin from, once each has told its floor; the same at each."""
+    """Return what all amnesiacs begin from, once each has told its imported state; the same at each."""
     if not imported_states:
         return None
     best = max(imported_states, key=state_stamp)
--- /dev/null
+++ b/vetchusher/control/leader_lease.py
@@ -0,0 +1,81 @@
+"""The leader lease of one epoch: when it is renewed, whether it holds, and when it is lost for good.
+
+A voter that answers a renewal grants no other epoch a vote for `Timing.lease_duration_us`.  The primary
+counts such an answer for the shorter `Timing.answer_valid_us` from the sending of the renewal; the difference
+covers the drift of two steady clocks.  All times are microseconds of this machine's own steady clock.
+"""
+
+from __future__ import annotations
+
+from .messages import Timing
+from .progress import PeerTable, ProgressTracker
+from .reconfiguration import Reconfiguration
+from .state import has_quorum
+
+
+class LeaderLease:
+    """The lease that a majority of each electorate grants the primary of one epoch."""
+
+    def __init__(
+        self,
+        timing: Timing,
+        peers: PeerTable,
+        progress: ProgressTracker,
+        reconfiguration: Reconfiguration,
+        began_at: int,
+    ) -> None:
+        """:param began_at: when the epoch began"""
+        self.timing = timing
+        self.peers = peers
+        self.progress = progress
+        self.reconfiguration = reconfiguration
+        self.began_at = began_at
+        self.last_renewal_at = began_at - timing.renewal_interval_us
+        self.last_renewal_was_probe = False
+        self.was_held = False
+        self.lapsed_at: int | None = None
+
+    def is_valid(self, now: int) -> bool:
+        """Return whether a majority of each electorate still grants the lease."""
+        return now < self.reconfiguration.lease_expires_at(now)
+
+    def is_lost(self, now: int) -> bool:
+        """Return whether the lease ran out and renewals did not regain it in time.
+
+        A primary that hears the others and is not heard by them ends its epoch here.
+        """
+        if self.is_valid(now):
+            self.lapsed_at, self.was_held = None, True
+            return False
+        if self.lapsed_at is None:
+            self.lapsed_at = now
+        # The first replies of an epoch may take as long as a lease.
+        grace_us = self.timing.lease_regain_us if self.was_held else self.timing.lease_duration_us
+        return now >= self.lapsed_at + grace_us
+
+    def is_renewal_due(self, now: int) -> bool:
+        """Return whether to renew now; at once when a majority is reachable again."""
+        is_regained = self.last_renewal_was_probe and not self.has_no_majority_contact(now)
+        return is_regained or now >= self.last_renewal_at + self.timing.renewal_interval_us
+
+    def begin_renewal(self, now: int) -> int | None:
+        """Open a renewal round and return its number; None: only a probe may be sent."""
+        self.last_renewal_at = now
+        self.last_renewal_was_probe = self.has_no_majority_contact(now)
+        return None if self.last_renewal_was_probe else self.progress.next_round(now)
+
+    def has_no_majority_contact(self, now: int) -> bool:
+        """Return whether no majority was heard from lately, so that a renewal could not bring a lease.
+
+        Safety: a primary whose messages arrive but who hears nobody would otherwise renew the leases that
+        keep the others from electing another primary.
+        """
+        contacts = self.peers.last_contact_at
+        since = now - self.timing.majority_timeout_us
+        reachable = {
+            ip
+            for ip in self.reconfiguration.other_voters()
+            if max(self.began_at, contacts.get(ip, 0)) > since
+        }
+        reachable.add(self.peers.own_ip)
+        return not all(has_quorum(one, reachable) for one in self.reconfiguration.replica_sets())
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -1,7 +1,8 @@
-"""What the control state's machine takes, what it returns, and what a disk holds of it."""
+"""Inputs and outputs of the control state's state machine, its settings, and what a disk holds of it."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from returns.result import Result
@@ -13,29 +14,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """All in us of the machine's own steady clock.
-
-    :param lease_us: for how long a voter that agreed to a renewal promises no other epoch
-    :param held_us: for how long a primary or a candidate counts any answer, from the sending of the question.
-        The rest of the lease is what two steady clocks may drift apart in that time
-    :param other_zone_us: how long a write waits for a copy in another zone, or until one there is taught
-    :param late_us: a copy in the primary's zone that has not synced a write for so long, and a microsecond
-        for each byte of the configuration that was sent to it, is replaced
-    :param rest_us: for how long a late one is not chosen again
-    :param yield_us: like `late_us`, of the primary's own disk and the whole configuration: it hands over
-    :param drop_copy_us: for how long one that was replaced keeps its copy
-    :param heard_us: who was heard within it is up
-    :param answer_us: so long after an epoch's begin a member that was heard may be one that hears nothing
-    :param stopped_us: a machine that ran nothing for so long stood still; ticks come ten times as often
-    :param unheard_us: a primary that has heard no majority for so long renews nobody's lease until it does
-    :param regain_us: how long a primary whose lease ran out goes on asking before it gives up its epoch
-    :param leaving_pause_us: how much longer than others a machine that is leaving waits before it stands
-    :param candidate_backoff_us: after a promise, no other candidate is encouraged for so long
-    :param anew_us: when nobody remembers anything at all: how long to look for somebody before beginning anew
-    :param drop_us: members unheard for so long are left out where that lets the others bear one loss more
-    :param settle_us: after the begin of an epoch a leaving voter stays for so long: learners make themselves
-        known to the new primary
-    :param replace_us: a member unheard for so long gives its seat to a learner that is ready
+    """Durations of the control state's protocol, all in microseconds of a machine's own steady clock.
+
+    :param renewal_interval_us: between two renewals of the leader lease
+    :param lease_duration_us: for how long a voter that granted a lease votes for nobody else
+    :param answer_valid_us: for how long a primary or candidate counts a reply, from the sending of the
+        request; the rest of the lease is what two steady clocks may drift apart in that time
+    :param other_zone_timeout_us: how long a write waits for a copy in another zone, or until one is sent
+        there
+    :param write_timeout_us: a copy in the primary's zone that has not synced a write for so long, plus 1 us a
+        byte of configuration that was sent to it, is replaced
+    :param ejection_us: for how long a late copy is not chosen again
+    :param own_disk_timeout_us: like `write_timeout_us`, of the primary's own disk: it hands leadership over
+    :param copy_retention_us: for how long a machine that was replaced keeps its copy
+    :param contact_timeout_us: a machine heard from within it is reachable
+    :param first_answer_us: so long after an epoch's begin a reachable member may be one that hears nothing
+    :param pause_threshold_us: a process that ran nothing for so long was paused; ticks come ten times as
+        often
+    :param majority_timeout_us: a primary that heard no majority for so long renews nobody's lease until it
+        does
+    :param lease_regain_us: how long a primary whose lease lapsed renews on before it gives up its epoch
+    :param election_back_off_us: after a vote, no other candidate is encouraged for so long
+    :param election_jitter_us: longest random pause before a candidacy
+    :param leaving_election_delay_us: how much longer than others a machine that shuts down waits to stand
+    :param pre_vote_timeout_us: for the replies to pre-vote requests; it doubles with each failed election
+    :param vote_timeout_us: for the replies to vote requests
+    :param order_timeout_us: within which an order is answered
+    :param resend_delay_us: before a write is sent again; it doubles
+    :param max_resend_delay_us: bound of that delay
+    :param persist_retry_us: before a write that the disk refused is tried again
+    :param recovery_interval_us: between two requests of an amnesiac
+    :param bootstrap_delay_us: how long amnesiacs look for anybody who remembers before they begin anew
+    :param join_interval_us: between two requests of a learner
+    :param learner_timeout_us: a learner that has not asked for so long is forgotten
+    :param removal_timeout_us: members unheard for so long are removed where that lets the rest bear one loss
+        more
+    :param replacement_timeout_us: a member unheard for so long gives its seat to a learner that is ready
+    :param learner_discovery_us: after an epoch's begin a leaving voter stays for so long: learners make
+        themselves known to the new primary
     """
 
     renewal_interval_us: int = 250_000
@@ -69,15 +85,33 @@
     learner_discovery_us: int = 1_500_000
 
 
+@dataclass(slots=True, frozen=True)
+class ReplicaSettings:
+    """What a replica is told at its start.
+
+    :param own_ip: this machine's address, by which the others know it
+    :param seeds: addresses of machines to ask; at the very first start they are the members
+    :param first_start: the system has never run
+    :param losses: how many machines may be lost at a time
+    """
+
+    own_ip: str
+    zone: str
+    seeds: Sequence[str]
+    first_start: bool
+    timing: Timing = field(default_factory=Timing)
+    losses: int = 1
+
+
 @dataclass(slots=True, frozen=True)
 class PersistentState:
-    """What a disk holds.
+    """What a disk holds of the control state.
 
-    :param promised: the highest epoch that this machine promised
+    :param voted_epoch: the highest epoch that this machine voted for
     :param state: its copy; empty at a witness
-    :param owner: ip of the candidate to whom that epoch was promised
-    :param record: the highest accepted; one without members: of a disk of the first format
-    :param copy: `state` is a whole copy
+    :param voted_for: address of the candidate that got that vote
+    :param replica_set: the highest accepted; one without members is of a disk of the first format
+    :param has_copy: `state` is a complete copy
     """
 
     voted_epoch: int
@@ -97,14 +131,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    sender: str  # ip
+    """A message has arrived.
+
+    :param sender: address of the machine that wrote it
+    :param zone: of that machine
+    """
+
+    sender: str
     zone: str
     message: ControlMessage
 
 
 @dataclass(slots=True, frozen=True)
 class Persisted:
-    """The outcome of a `Persist`; `ok`: it is synced."""
+    """The outcome of a `Persist`.
+
+    :param synced: it is on the disk; else the disk refused it
+    """
 
     token: int
     synced: bool
@@ -112,7 +155,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplaceOrder:
-    """:param body: a configuration that was checked whole, as the operator sent it"""
+    """Replace the configuration.
+
+    :param body: a configuration whose content was checked, as the operator sent it
+    """
 
     version: int
     body: bytes
@@ -120,12 +166,15 @@
 
 @dataclass(slots=True, frozen=True)
 class RetrieveOrder:
-    pass
+    """Read the committed configuration."""
 
 
 @dataclass(slots=True, frozen=True)
 class EvacuationOrder:
-    """:param after: number of the zone's last order when this one was passed on; None: it never was"""
+    """Begin or end the evacuation of a zone.
+
+    :param previous_order: number of the zone's last order when this one was forwarded; None: it never was
+    """
 
     zone: str
     on: bool
@@ -137,7 +186,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Submitted:
-    """:param number: the caller's; it comes back in `Completed`"""
+    """An operator's order has arrived.
+
+    :param order_id: chosen by the caller; it comes back in `Completed`
+    """
 
     order_id: int
     order: Order
@@ -145,15 +197,17 @@
 
 @dataclass(slots=True, frozen=True)
 class CopyRepaired:
-    """:param state: the copy that belongs to the stamp that this machine holds, which its own was not; None:
-    all that is held, as it is, is to be written again"""
+    """The copy on this disk was found damaged.
+
+    :param state: the copy that belongs to the stamp held here; None: write all that is held once more
+    """
 
     state: ControlState | None
 
 
 @dataclass(slots=True, frozen=True)
 class ShutDown:
-    """The process is about to end in order: if it leads, another is to lead at once."""
+    """The process is about to end in order: if it leads, another machine is to lead at once."""
 
 
 Input = Tick | Received | Persisted | Submitted | CopyRepaired | ShutDown
@@ -164,13 +218,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    to: str  # ip
+    """Send a message; it may be lost.
+
+    :param to: address of the receiver
+    """
+
+    to: str
     message: ControlMessage
 
 
 @dataclass(slots=True, frozen=True)
 class Persist:
-    """To be synced, in order, and answered by `Persisted`.  There is never more than one unanswered."""
+    """Sync these contents and answer with `Persisted`.  There is never more than one unanswered."""
 
     token: int
     contents: PersistentState
@@ -178,8 +237,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Completed:
-    """:param outcome: for `Retrieve` the configuration's bytes as sent; else nothing.  NOT_SETTLED: it may
-    come to be in force or not"""
+    """The answer to an order.
+
+    :param outcome: for `RetrieveOrder` the configuration's bytes as sent; else empty.  NOT_SETTLED: the order
+        may be committed later, or never
+    """
 
     order_id: int
     outcome: Result[bytes, Fault]
@@ -187,7 +249,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """`Replica.committed` has grown to this."""
+    """`Replica.committed` has advanced to this state."""
 
     state: ControlState
 
--- a/vetchusher/control/formats.py
+++ b/vetchusher/control/migration.py
@@ -1,4 +1,4 @@
-"""Brings a store of an older format up to the one of this program: in one transaction, or not at all."""
+"""Migration of a store of an older format to the one of this release: in one transaction, or not at all."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 
 
 def migrate(connection: sqlite3.Connection) -> bool:
-    """False: what lies there cannot be read whole, and stays as it is.
+    """Bring a store up to `FORMAT`.
 
+    :returns: False: its content cannot be read, and stays as it is
     :raises sqlite3.Error: the disk refuses; it holds what it held
     """
     if stored_format(connection) < 2:
@@ -44,7 +45,10 @@
 
 
 def migrate_to_format_2(connection: sqlite3.Connection) -> bool:
-    """Of the rows `promised`, `state`, `configuration`, and `office` where there were records."""
+    """Rewrite the rows `promised`, `state`, `configuration`, and `office` where there were replica sets.
+
+    :returns: False: a row is damaged or missing
+    """
     rows = {}
     for name, value, checksum in connection.execute("SELECT name, value, digest FROM kept").fetchall():
         if not isinstance(value, bytes) or row_checksum(name, value) != checksum:
--- a/vetchusher/control/orders.py
+++ b/vetchusher/control/orders.py
@@ -1,9 +1,9 @@
-"""Which orders one write takes, and how each is answered: one number, one body, one answer.
+"""Which orders one write takes, and how each is answered: one version, one body, one answer.
 
-A configuration's number names the bytes of one body.  The same bytes under it are acknowledged again; other
-bytes are refused, but only by what is committed, or together with the commit that makes it so.  The
-invariant, proved in docs/design/control-orders.md: a body that was acknowledged is never refused afterwards,
-and of several bodies that were under way together under one number one is acknowledged.
+A configuration's version names the bytes of one body. The same bytes under it are acknowledged again. Other
+bytes are rejected, but only by what is committed, or together with the commit that makes it so. The
+invariant, proved in docs/design/control-orders.md: a body that was acknowledged is never rejected afterwards,
+and of several bodies that were in flight together under one version one is acknowledged.
 """
 
 from __future__ import annotations
@@ -26,16 +26,17 @@
 
 
 def digest(body: bytes) -> bytes:
+    """Return the digest of a configuration's body; 16 bytes."""
     return blake3(body).digest(DIGEST_BYTES)
 
 
 @dataclass(slots=True, frozen=True)
 class KnownBodies:
-    """Which body has each number, as far as one batch knows.
+    """Which body has each version, as far as one batch knows.
 
-    :param floor: what was committed as the batch began; of lower numbers nothing is known
-    :param bodies: digests by number: of what was committed then, and of each order since; no more of them
-        than orders may wait at once, and one
+    :param committed_version: what was committed as the batch began; of lower versions nothing is known
+    :param digests: by version: of what was committed then, and of each order since; no more of them than
+        orders may wait at once, and one
     """
 
     committed_version: int
@@ -44,8 +45,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """:param relies_on_write: the outcome may be told only once the write of the batch is committed
-    :param event: to be logged when it is told
+    """The outcome of one order.
+
+    :param needs_commit: the outcome may be reported only once the write of the batch is committed
+    :param event: to be logged when it is reported
     """
 
     outcome: Result[bytes, Fault]
@@ -53,24 +56,27 @@
     event: LogEvent | None = None
 
     def outputs(self, order_id: int) -> list[Output]:
-        """:param number: the caller's"""
+        """Return the answer to the caller's order, and the event."""
         outputs: list[Output] = [Completed(order_id, self.outcome)]
         return outputs if self.event is None else [self.event, *outputs]
 
 
 class OrderBatch:
-    """The orders of one write, decided one after the other.  It owns the state that they lead to."""
+    """The orders of one write, decided one after the other; owner of the state that they lead to."""
 
     def __init__(self, committed: ControlState, previous: KnownBodies | None) -> None:
-        """:param held: what is committed
-        :param before: what the last batch of this epoch knew; its write is committed.  Orders that came while
-            that was under way are decided here
+        """Begin a batch.
+
+        :param committed: the committed state
+        :param previous: what the last batch of this epoch knew; its write is committed. Orders that came
+            while that write was in flight are decided here
         """
         self.committed = self.state = committed
         self.previous = previous or KnownBodies(committed.version, {})
         self.digests: dict[int, bytes] = {}
 
     def decide(self, order: Order) -> Decision:
+        """Decide one order."""
         if isinstance(order, ReplaceOrder):
             return self.decide_replace(order)
         # Danger: what is done already may be done only by the write, which is not committed yet.
@@ -81,6 +87,7 @@
         return Decision(self.apply(order), needs_commit)
 
     def decide_replace(self, order: ReplaceOrder) -> Decision:
+        """Decide the replacement of the configuration."""
         if self.committed.version not in self.digests:
             self.digests[self.committed.version] = digest(self.committed.configuration)
         version, sent_digest = order.version, digest(order.body)
@@ -99,16 +106,18 @@
         return Decision(self.apply(order), needs_commit)
 
     def apply(self, order: Order) -> Result[bytes, Fault]:
+        """Apply an order to the batch's state."""
         after = apply_order(self.state, order)
         self.state = after.value_or(self.state)
         return after.map(lambda _: b"")
 
     def known_bodies(self) -> KnownBodies:
-        """What the batch after this one has to know; a batch without configurations changes none of it."""
+        """Return what the next batch has to know; a batch without configurations changes none of it."""
         return KnownBodies(self.committed.version, self.digests) if self.digests else self.previous
 
 
 def conflict_event(version: int, known_digest: bytes, refused_digest: bytes) -> LogEvent:
+    """Return the log event of a version that two bodies claim."""
     facts = {
         "version": version,
         "taken": known_digest[:LOGGED_BYTES].hex(),
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -1,8 +1,8 @@
-"""The other machines as a primary knows them: their leases, their records, their copies.
+"""The other machines as a primary knows them: their leases, replica sets and copies.
 
-Every word of another machine counts for `held_us` from the sending of what it answers.  Danger: a copy that
-was told long ago may be on a disk that is gone since; a machine that came back empty asks nobody before
-such words have run out (`recall`).
+Safety: a reply counts for `Timing.answer_valid_us` from the sending of the request. A copy that was reported
+long ago may be on a disk that is gone since; a machine that came back empty asks nobody before such replies
+have expired (`amnesia.py`). All times are microseconds of this machine's steady clock.
 """
 
 from __future__ import annotations
@@ -19,8 +19,10 @@
 
 @dataclass(slots=True)
 class PeerTable:
-    """Who was heard when, from which zone, the life of its process, and who is about to end.  Bounded:
-    `Replica` forgets the one longest unheard."""
+    """Which machines were heard from, when, from which zone, in which incarnation, and which are leaving.
+
+    Bounded: `Replica` forgets the one that was not heard from for longest.
+    """
 
     own_ip: str
     zones: dict[str, str] = field(default_factory=dict)
@@ -29,24 +31,35 @@
     leaving: set[str] = field(default_factory=set)
 
     def contacted_within(self, now: int, period_us: int) -> set[str]:
-        """Who was heard in that time until now."""
+        """Return the machines heard from in the period (us) until now."""
         return {ip for ip, heard in self.last_contact_at.items() if now < heard + period_us}
 
+    def forget_oldest(self) -> None:
+        """Forget the machine that has not been heard from for longest."""
+        oldest = min(self.last_contact_at, key=self.last_contact_at.__getitem__)
+        del self.last_contact_at[oldest], self.zones[oldest], self.incarnations[oldest]
+        self.leaving.discard(oldest)
+
     def span_zones(self, ips: set[str]) -> bool:
-        """Whether they lie in more than one zone."""
+        """Return whether the machines lie in more than one zone."""
         return len({self.zones.get(ip) for ip in ips}) > 1
 
 
 @dataclass(slots=True)
 class ReplicaProgress:
-    """:param copy: stamp of the copy that it has synced, as last told; it counts until `copy_until`
-    :param holds: it said that it has a copy on its disk, new or old
-    :param dropped: stamp up to which it was told to drop its copy; none such counts
-    :param record: epoch and number of the record that it has synced; it counts until `lease_until`
-    :param needs_whole: it lacked what a delta built on: until it has synced a write it gets all of it
-    :param wrote: stamp of the last write sent to it, first at `first_at`, last at `last_at`
-    :param sent_bytes: of the configuration, in that write
-    :param rested_until: it was late with a write: until then, or until it syncs one, it is not chosen
+    """How far one machine is, as far as its primary knows.
+
+    :param copy_stamp: stamp of the copy that it reported as synced; it counts until `copy_valid_until`
+    :param has_copy: it reported a copy on its disk, new or old
+    :param dropped_stamp: stamp up to which it was told to drop its copy; no such copy counts
+    :param replica_set_id: epoch and number of the replica set that it synced; it counts until
+        `lease_expires_at`
+    :param needs_full_body: it lacked what a delta builds on; until it has synced a write it gets the whole
+        body
+    :param sent_stamp: stamp of the last write sent to it, first at `first_sent_at`, last at `last_sent_at`
+    :param sent_bytes: bytes of configuration in that write
+    :param ejected_until: it was late with a write: until then, or until it syncs one, it is not chosen
+    :param last_join_at: of a learner: when it last asked to join
     """
 
     copy_stamp: StampTuple = ZERO_STAMP
@@ -67,17 +80,16 @@
     last_join_at: int = 0  # of a learner: when it asked last
 
     def reset_after_restart(self) -> None:
-        """Another process speaks: what it has on its disk it is to say anew."""
+        """Forget what an earlier process reported: what is on its disk is to be reported anew."""
         self.copy_stamp = self.sent_stamp = self.replica_set_id = ZERO_STAMP
         self.amnesiac = False
 
 
 class ProgressTracker:
-    """It owns the members' and the learners' words (learners that stop asking are dropped), and when each
-    renewal was sent."""
+    """Owner of what voters and learners reported, and of the time at which each renewal was sent."""
 
     def __init__(self, timing: Timing, peers: PeerTable, first_round: int, began_at: int = 0) -> None:
-        """:param began: when the epoch did"""
+        """Begin to track at the begin of an epoch, with nothing known."""
         self.timing = timing
         self.answers_expected_from = began_at + timing.first_answer_us
         self.peers = peers
@@ -87,18 +99,21 @@
         self.learners: dict[str, ReplicaProgress] = {}
 
     def of(self, ip: str) -> ReplicaProgress:
+        """Return the progress of a voter or learner; an unknown machine is tracked from now on."""
         learner = self.learners.get(ip)
         return self.members.setdefault(ip, ReplicaProgress()) if learner is None else learner
 
     def promote_learner(self, ip: str) -> None:
-        """A learner is a voter from now on."""
+        """Track a learner as a voter from now on."""
         if ip in self.learners:
             self.members[ip] = self.learners.pop(ip)
 
     def find(self, ip: str) -> ReplicaProgress | None:
+        """Return the progress of a machine; None: it is not tracked."""
         return self.members.get(ip) or self.learners.get(ip)
 
     def is_reachable(self, now: int, ip: str) -> bool:
+        """Return whether a machine was heard from lately."""
         return (
             ip == self.peers.own_ip
             or now
@@ -107,12 +122,14 @@
         )
 
     def next_round(self, now: int) -> int:
+        """Open a round of renewals and return its number."""
         self.round += 1
         self.round_sent_at[self.round] = now
         self.round_sent_at.pop(self.round - MAX_OPEN_ROUNDS, None)
         return self.round
 
     def on_renewal_reply(self, sender: str, reply: LeaseRenewalReply) -> None:
+        """Take a reply to a renewal; the newest reply counts, even where it reports less than one before."""
         progress, sent_at = self.find(sender), self.round_sent_at.get(reply.round)
         if progress is None or sent_at is None or reply.round <= progress.last_round:
             return
@@ -129,6 +146,7 @@
         progress.replica_set_id = stamp_tuple(reply.record) if reply.accepted else ZERO_STAMP
 
     def on_write_reply(self, sender: str, reply: WriteReply) -> None:
+        """Take a reply to a write."""
         progress = self.find(sender)
         if progress is None or not reply.accepted or progress.sent_stamp <= progress.dropped_stamp:
             return
@@ -144,20 +162,23 @@
             progress.needs_full_body = False
 
     def copy_stamp(self, now: int, ip: str) -> StampTuple:
-        """Stamp of the copy on that member's disk, as far as its word still counts."""
+        """Return the stamp of the copy on a machine's disk, as far as its report still counts."""
         progress = self.of(ip)
         return progress.copy_stamp if now < progress.copy_valid_until else ZERO_STAMP
 
     def replica_set_id(self, now: int, ip: str) -> StampTuple:
+        """Return epoch and number of the replica set on a machine's disk, as far as its report still
+        counts.
+        """
         progress = self.of(ip)
         return progress.replica_set_id if now < progress.lease_expires_at else ZERO_STAMP
 
     def is_ejected(self, now: int, ip: str) -> bool:
-        """It was late a moment ago, and is up."""
+        """Return whether a machine was late a moment ago, and is reachable."""
         return now < self.of(ip).ejected_until and self.is_reachable(now, ip)
 
     def is_eligible(self, now: int, ip: str) -> bool:
-        """Whether it may be chosen to hold a copy."""
+        """Return whether a machine may be chosen to hold a copy."""
         if ip == self.peers.own_ip:
             return True
         progress = self.of(ip)
@@ -165,10 +186,13 @@
         return may_hold_copy and self.is_reachable(now, ip) and now >= progress.ejected_until
 
     def is_answering(self, now: int, ip: str) -> bool:
-        """Danger: one that is heard and hears nothing would be waited for with each write."""
+        """Return whether a machine answers renewals. One that is heard from and hears nothing would delay
+        each write.
+        """
         return now < self.answers_expected_from or now < self.of(ip).lease_expires_at
 
     def expire_learners(self, now: int) -> None:
+        """Forget the learners that stopped asking to join."""
         old = [
             ip for ip, x in self.learners.items() if now >= x.last_join_at + self.timing.learner_timeout_us
         ]
--- a/vetchusher/control/reconfiguration.py
+++ b/vetchusher/control/reconfiguration.py
@@ -1,13 +1,14 @@
-"""Who holds copies, and who votes: the replica set of an epoch, as its primary changes it.
+"""The replica set of an epoch, and its change by one step at a time: who holds copies, and who votes.
 
-One change at a time.  A set is proposed once every machine that it newly names has synced the whole state; it
-stands once a majority of each electorate, of the set before and of the new one, has it on disk.  Until then a
-write needs the copies of both.
+A set is proposed once every machine that it newly names has synced the whole state. It is established once a
+majority of each electorate, of the set before and of the new one, has it on disk. Until then a write needs
+the copies of both.
 
-Voters are changed by joint consensus (Ongaro and Ousterhout 2014, section 6): first a set that names the new
-voters and the previous ones, of which both need a majority for whatever needs one; once it stands, the same
-set without the previous ones.  So a successor takes the seat of the one that is leaving or lost in one step,
-and no two electorates that could decide at the same time are without a common voter.
+Voters are changed by joint consensus (Ongaro and Ousterhout 2014, section 6). First comes a set that names
+the new voters and the previous ones; whatever needs a majority then needs one of both. Once it is
+established, the same set without the previous voters follows. So a successor takes the seat of a machine that
+is leaving or lost in one step, and no two electorates that could decide at the same time are without a common
+voter.
 """
 
 from __future__ import annotations
@@ -18,13 +19,16 @@
 
 from .durable_state import DurableState
 from .progress import ProgressTracker
-from .seats import MembershipView, next_members, voters_for
 from .state import StampTuple, copies_needed, electorates, has_quorum, majority, replica_set_id, voters
+from .target_members import MembershipView, next_members, voters_for
 
 
 class Reconfiguration:
-    """It owns the set that stands (before the first of its epoch: the one that was found), and the one
-    proposed."""
+    """Owner of the current replica set and of the proposed one.
+
+    Before the first set of its epoch is established, the current one is the set that was found in the
+    election.
+    """
 
     def __init__(
         self,
@@ -35,7 +39,11 @@
         losses: int,
         now: int,
     ) -> None:
-        """:param losses: how many machines may be lost at a time"""
+        """Begin an epoch with the set that was found.
+
+        :param found: the newest replica set that the votes reported
+        :param losses: how many machines may be lost at a time
+        """
         self.durable = durable
         self.progress = progress
         self.own_ip = progress.peers.own_ip
@@ -47,40 +55,44 @@
 
     @property
     def is_established(self) -> bool:
-        """Without a set of this epoch nothing may be acknowledged."""
+        """Whether the current set is of this epoch; before that nothing may be acknowledged."""
         return self.current.epoch == self.epoch
 
     @property
     def is_joint(self) -> bool:
-        """A change of voters has come to stand, and is to be ended."""
+        """Whether the current set still names the previous voters, a change that is to be ended."""
         return bool(self.current.previous_members)
 
     @property
     def members(self) -> list[str]:
+        """The voters of the current set."""
         return list(self.current.members)
 
     def replica_sets(self) -> list[ReplicaSet]:
+        """Return the current set and, where there is one, the proposed set."""
         return [one for one in (self.current, self.proposed) if one is not None]
 
     def electorates(self) -> list[Sequence[str]]:
-        """A majority of each is needed for whatever needs one."""
+        """Return all electorates; a majority of each is needed for whatever needs one."""
         return [electorate for one in self.replica_sets() for electorate in electorates(one)]
 
     def other_voters(self) -> list[str]:
-        """All voters but this machine, the coming ones too."""
+        """Return all voters but this machine, the coming ones too."""
         return sorted({ip for one in self.replica_sets() for ip in voters(one)} - {self.own_ip})
 
     def required_copies(self) -> set[str]:
-        """Whose disks a write needs now."""
+        """Return the machines whose disks a write needs now."""
         established = self.current.copies if self.is_established else ()
         return {*established, *(self.proposed.copies if self.proposed else ())}
 
     def newest_of_epoch(self) -> ReplicaSet | None:
-        """Of this epoch."""
+        """Return the newest set of this epoch; None: there is none yet."""
         return self.proposed or (self.current if self.is_established else None)
 
     def lease_expires_at(self, now: int) -> int:
-        """Until when a majority of each electorate promises no other epoch; this machine is one of them."""
+        """Return until when (us) a majority of each electorate votes for no other epoch, this machine among
+        them.
+        """
         own_expiry = now + self.progress.timing.answer_valid_us
         expiries = []
         for members in self.electorates():
@@ -91,7 +103,7 @@
         return min(expiries)
 
     def commit_proposal(self, now: int) -> bool:
-        """Whether the proposed set has come to stand just now."""
+        """Establish the proposed set if enough machines have it on disk; return whether it was."""
         if self.proposed is None:
             return False
         wanted = replica_set_id(self.proposed)
@@ -104,7 +116,10 @@
         return True
 
     def propose(self, copies: Iterable[str], members: Sequence[str], previous: Sequence[str] = ()) -> None:
-        """:param previous: the voters before, while these are being changed"""
+        """Propose a replica set; learners that it names become voters.
+
+        :param previous: the voters before, while these are being changed
+        """
         for ip in members:
             self.progress.promote_learner(ip)
         number = self.current.number + 1 if self.is_established else 1
@@ -121,7 +136,7 @@
     # -- who is to vote ------------------------------------------------------------------------
 
     def ready_learners(self, now: int) -> list[str]:
-        """Learners that have the standing set on disk, and may become members."""
+        """Return the learners that have the current set on disk, and may become voters."""
         peers = self.progress.peers
         return [
             ip
@@ -133,7 +148,7 @@
         ]
 
     def next_members(self, now: int, epoch_began_at: int) -> list[str]:
-        """The voters that there should be, as far as is known now."""
+        """Return the voters that there should be, as far as is known now."""
         peers, timing = self.progress.peers, self.progress.timing
         contact_at = {
             ip: max(epoch_began_at, peers.last_contact_at.get(ip, 0))
@@ -163,10 +178,12 @@
     # -- who is to hold copies -----------------------------------------------------------------
 
     def preferred_copies(self, now: int, members: Sequence[str] | None = None) -> set[str]:
-        """As many as are needed, of those that are well; those that hold copies already first; in two zones
-        where any member of another zone is well.
+        """Return the machines that should hold copies.
+
+        As many as are needed, of those that are eligible; present holders first; in two zones where any
+        machine of another zone is eligible.
 
-        :param members: the voters that there should be; None: those of today
+        :param members: the voters that there should be; None: those of the current set
         """
         members, current_copies = self.members if members is None else members, self.current.copies
         size = copies_needed(len(members), self.losses)
@@ -184,7 +201,7 @@
         return {*chosen, *fallback[: size - len(chosen)]}
 
     def has_copy_since(self, now: int, ip: str, since: StampTuple) -> bool:
-        """Whether that machine's disk has a copy not older than that."""
+        """Return whether a machine's disk has a copy that is not older than a stamp."""
         if ip == self.own_ip:
             return self.durable.synced_has_copy and self.durable.synced_stamp >= since
         return self.progress.copy_stamp(now, ip) >= since
--- a/vetchusher/control/repair.py
+++ b/vetchusher/control/repair.py
@@ -1,10 +1,10 @@
-"""Copies of the state on two disks compared by digests over ranges, and mended.
+"""Anti-entropy: copies on two disks are compared by digests over ranges, and repaired.
 
-A backup asks its primary once a minute for the digest of the copy at the stamp that it holds itself.  Where
+A backup asks its primary once a minute for the digest of the copy at the stamp that it holds itself. Where
 they differ it asks on, sixteen ranges at a time, and takes the rows of the leaves that differ: under a stamp
-there is one state, and what the primary's majority holds is that one.  A copy of a lower stamp is left to the
-ordinary write.  Beside that each machine looks through its own rows, a part at a time; what is not as it was
-written is written again from what the process holds, which was checked when it came.
+there is one state, and what the primary's majority holds is that one. A copy of a lower stamp is left to the
+ordinary write. Beside that each machine scans its own rows, a few at a time; a damaged one is written again
+from what the process holds, which was checked when it came.
 
 Pure: inputs and the time (us, steady clock) in, outputs out.
 """
@@ -28,19 +28,21 @@
 from .digests import DEPTH, LEAVES
 from .messages import Received, Send
 from .state import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
-from .store import ScanResult, StoredCopy
+from .stored_rows import ScanResult, StoredCopy
 
 MAX_LEAVES_PER_REQUEST = 16  # leaves asked for in one message
 
 
 @dataclass(slots=True, frozen=True)
 class RepairTiming:
-    """All in us.
-
-    :param compare_us: between two comparisons: 150 bytes there and back for each backup on a calm day
-    :param pass_us: least time of a pass through the rows on disk
-    :param part_us: between two parts (`store.SCAN_BYTES`) of a pass: 3 MiB read a minute at most
-    :param patience_us: for an answer; then the round is given up
+    """Durations of comparison and scan, all in microseconds.
+
+    :param comparison_interval_us: between two comparisons: 150 bytes there and back for each backup on a calm
+        day
+    :param scan_pass_us: least time of a pass through the rows on disk
+    :param scan_interval_us: between two steps (`stored_rows.SCAN_STEP_BYTES`) of a pass: 3 MiB read a minute
+        at most
+    :param reply_timeout_us: for a reply; then the comparison is given up
     """
 
     comparison_interval_us: int = 60_000_000
@@ -54,13 +56,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaStatus:
-    """Time has passed, and this is how the control state stands here.
+    """Time has passed, and this is the state of the replica.
 
-    :param primary: its ip; empty: unknown
-    :param leads: it is this machine, and its lease holds
+    :param primary: its address; empty: unknown
+    :param is_leader: it is this machine, and its lease is valid
     :param committed: the stamp of what is committed
     :param copy: of what is on the disk; None: this machine has no copy
-    :param written: how often all that lies there was written (`Copy.written`); None: nothing does
+    :param generation: how often the whole disk was written (`StoredCopy.generation`); None: nothing was
     """
 
     primary: str
@@ -72,9 +74,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RowsFetched:
-    """What a `Fetch` found.
+    """The rows that a `FetchRows` asked for.
 
-    :param rows: None: the copy has another stamp by now, or one of the rows is spoilt
+    :param rows: None: the copy has another stamp by now, or one of the rows is damaged
     """
 
     request: FetchRows
@@ -86,12 +88,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ScanRows:
-    """Look at the next part of the rows on disk; answered by `Scanned`."""
+    """Check the next few rows on disk; answered by `ScanResult`."""
 
 
 @dataclass(slots=True, frozen=True)
 class FetchRows:
-    """Rows of those leaves, from the disk; answered by `Fetched`."""
+    """Read the rows of some leaves from the disk for another machine; answered by `RowsFetched`."""
 
     to: str
     round: int
@@ -106,8 +108,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RepairCopy:
-    """Put the copy of that stamp together anew: in those leaves these rows, elsewhere its own.  It counts
-    only if it has that root."""
+    """Put the copy of a stamp together anew: these rows in these leaves, its own elsewhere.
+
+    :param root: root digest that the result must have; another result is dropped
+    """
 
     stamp: StampTuple
     leaves: tuple[int, ...]
@@ -121,7 +125,14 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """One comparison with one other copy."""
+    """One comparison with another machine's copy.
+
+    :param expires_at: when it is given up
+    :param root: root digest of the other copy
+    :param leaves: leaves that differ
+    :param rows: rows received so far
+    :param leaves_received: how many of the leaves they belong to
+    """
 
     number: int
     peer: str
@@ -135,7 +146,7 @@
 
 
 class CopyRepair:
-    """It owns the round under way, one at most, and what is known of the own rows."""
+    """Owner of the comparison in flight, one at most, and of what is known of the own rows."""
 
     def __init__(self, me: str, timing: RepairTiming, rng: random.Random, now: int) -> None:
         self.own_ip, self.timing, self.rng = me, timing, rng
@@ -149,9 +160,11 @@
 
     @property
     def is_intact(self) -> bool:
+        """Whether no damaged row is known on this disk."""
         return self.damaged_generation is None
 
     def handle(self, now: int, event: Input) -> list[Output]:
+        """Take one input and return what is to be done."""
         match event:
             case ReplicaStatus():
                 return self.on_status(now, event)
@@ -165,6 +178,7 @@
     # -- time ----------------------------------------------------------------------------------
 
     def on_status(self, now: int, status: ReplicaStatus) -> list[Output]:
+        """Do what is due by time: a scan, a comparison, giving one up."""
         self.status = status
         out: list[Output] = []
         copy = status.copy
@@ -194,6 +208,7 @@
         return out
 
     def on_scan_result(self, now: int, result: ScanResult) -> list[Output]:
+        """Take the result of a scan step; damaged rows are written again."""
         self.is_scanning = False
         self.next_scan_at = now + self.timing.scan_interval_us
         if result.pass_completed:
@@ -208,6 +223,7 @@
     # -- asking --------------------------------------------------------------------------------
 
     def request_digests(self, comparison: Comparison, ranges: tuple[int, ...]) -> Send:
+        """Ask the other machine for its digests below some ranges."""
         message = Compare(
             round=comparison.number,
             stamp=stamp_message(comparison.stamp),
@@ -217,6 +233,7 @@
         return Send(comparison.peer, ControlMessage(compare=message))
 
     def on_message(self, now: int, event: Received) -> list[Output]:
+        """Take another machine's message about copies."""
         message, sender = event.message, event.sender
         match message.WhichOneof("kind"):
             case "compare":
@@ -234,9 +251,9 @@
     def current_comparison(
         self, sender: str, number: int, stamp: StampTuple
     ) -> tuple[Comparison, StoredCopy] | None:
-        """The round that a message belongs to, and the own copy, while both stand at one stamp.
+        """Return the comparison to which a message belongs, and the own copy; None: it belongs to none.
 
-        Danger: of two copies of unlike stamps neither disproves the other.
+        Safety: of two copies with different stamps neither disproves the other.
         """
         comparison, copy = self.comparison, self.status.copy
         if comparison is None or copy is None or (sender, number) != (comparison.peer, comparison.number):
@@ -247,6 +264,7 @@
         return comparison, copy
 
     def on_digests(self, now: int, sender: str, reply: Compared) -> list[Output]:
+        """Compare the other copy's digests, and ask on where they differ."""
         current = self.current_comparison(sender, reply.round, stamp_tuple(reply.stamp))
         if current is None or reply.level != current[0].level:
             return []
@@ -269,10 +287,11 @@
         return [*out, self.request_rows(comparison)]
 
     def is_authoritative(self, reply: Compared) -> bool:
-        """Both are as they were written: the one that is committed is right, or nobody knows."""
+        """Return whether the other copy is right where the two differ: it is intact, and committed."""
         return reply.sound and reply.committed
 
     def request_rows(self, comparison: Comparison) -> Send:
+        """Ask for the rows of the next leaves that differ."""
         leaves = comparison.leaves[
             comparison.leaves_received : comparison.leaves_received + MAX_LEAVES_PER_REQUEST
         ]
@@ -280,6 +299,7 @@
         return Send(comparison.peer, ControlMessage(rows_asked=request))
 
     def on_rows(self, now: int, sender: str, reply: RowsTold) -> list[Output]:
+        """Take rows; with the last ones the copy is put together anew."""
         current = self.current_comparison(sender, reply.round, stamp_tuple(reply.stamp))
         if current is None or not current[0].leaves:
             return []
@@ -298,6 +318,7 @@
     # -- answering -----------------------------------------------------------------------------
 
     def digest_reply(self, sender: str, request: Compare) -> Send:
+        """Answer another machine's question for digests."""
         copy = self.status.copy
         reply = Compared(round=request.round, level=request.level, sound=self.is_intact)
         if copy is not None:
@@ -309,6 +330,7 @@
         return Send(sender, ControlMessage(compared=reply))
 
     def on_rows_fetched(self, fetched: RowsFetched) -> list[Output]:
+        """Answer another machine's question for rows."""
         request, rows = fetched.request, fetched.rows
         reply = RowsTold(
             round=request.round, stamp=stamp_message(request.stamp), whole=rows is not None and self.is_intact
--- /dev/null
+++ b/vetchusher/control/replication.py
@@ -0,0 +1,266 @@
+"""Replication of a primary's state to the other machines, one write at a time.
+
+A write goes to every copy that the replica sets name, to machines that are to become copies, and to late
+copies in another zone.  It is sent again until its stamp is reported as synced.  A configuration travels as a
+delta where the receiver is known, or expected, to hold the one before.
+
+All times are microseconds of this machine's steady clock.
+"""
+
+from __future__ import annotations
+
+from vetchusher.distribution.wire_pb2 import (
+    BodyDelta,
+    ControlMessage,
+    ControlState,
+    Drop,
+    Stamp,
+    Write,
+    WriteReply,
+)
+
+from .deltas import ConfigurationHistory
+from .durable_state import DurableState
+from .leader_lease import LeaderLease
+from .messages import Output, Send, Timing
+from .progress import PeerTable, ProgressTracker, ReplicaProgress
+from .reconfiguration import Reconfiguration
+from .state import ZERO_STAMP, copy_state, stamp_message, state_stamp, without_configuration
+
+
+class Replicator:
+    """Owner of the write in flight and of what is committed in this epoch."""
+
+    def __init__(
+        self,
+        timing: Timing,
+        durable: DurableState,
+        peers: PeerTable,
+        progress: ProgressTracker,
+        reconfiguration: Reconfiguration,
+        lease: LeaderLease,
+        epoch: int,
+        now: int,
+    ) -> None:
+        self.timing = timing
+        self.durable = durable
+        self.peers = peers
+        self.progress = progress
+        self.reconfiguration = reconfiguration
+        self.lease = lease
+        self.epoch = epoch
+        self.history = ConfigurationHistory()
+        self.committed: ControlState | None = None  # None: nothing in this epoch yet
+        self.write_began_at: int | None = None  # None: no write is in flight
+        self.last_write_at = now
+
+    # -- the write in flight -------------------------------------------------------------------
+
+    def begin_write(self, now: int, state: ControlState) -> None:
+        """Store the next state here under the epoch's next stamp; `replicate` sends it."""
+        previous = self.durable.state
+        state = copy_state(state, (self.epoch, state.stamp.seq + 1))
+        is_first_write = self.committed is None and self.write_began_at is None
+        if is_first_write or state.version != previous.version:
+            previous_since = state_stamp(previous) if is_first_write else self.history.current_since
+            self.history.advance(
+                state_stamp(state), state.configuration, previous.configuration, previous_since
+            )
+        self.durable.store_copy(state)
+        self.write_began_at = self.last_write_at = now
+
+    def is_write_replicated(self, now: int, began_at: int) -> bool:
+        """Return whether the write is on the disk of every copy that it needs, so that it is committed."""
+        reconfiguration, newest = self.reconfiguration, state_stamp(self.durable.state)
+        if not reconfiguration.is_established:
+            return False
+        if not all(
+            reconfiguration.has_copy_since(now, ip, newest) for ip in reconfiguration.required_copies()
+        ):
+            return False
+        # Copies in another zone are on their way: a zone may be lost right after the answer.
+        needs_other_zone = self.peers.span_zones(reconfiguration.preferred_copies(now))
+        has_other_zone = self.peers.span_zones(set(reconfiguration.current.copies))
+        is_other_zone_coming = needs_other_zone and not has_other_zone
+        return not is_other_zone_coming or now >= began_at + self.timing.other_zone_timeout_us
+
+    def commit(self) -> ControlState:
+        """Take the write in flight as committed and return its state."""
+        self.committed, self.write_began_at = self.durable.state, None
+        return self.committed
+
+    def committed_stamp(self, now: int) -> Stamp | None:
+        """Return the stamp of what is committed; None without the lease: nothing may be reported then."""
+        if self.committed is None or not self.lease.is_valid(now):
+            return None
+        return stamp_message(state_stamp(self.committed))
+
+    # -- sending -------------------------------------------------------------------------------
+
+    def next_members(self, now: int) -> list[str]:
+        """Return the voters that there should be, as far as is known now."""
+        if self.committed is None or self.reconfiguration.is_joint:
+            return self.reconfiguration.members
+        return self.reconfiguration.next_members(now, self.lease.began_at)
+
+    def targets(self, now: int) -> set[str]:
+        """Return the machines that get every write."""
+        reconfiguration = self.reconfiguration
+        # A late copy in another zone counts again as soon as it has shown that it keeps up.
+        late = {
+            ip
+            for ip in reconfiguration.members
+            if self.is_in_other_zone(ip) and self.progress.is_ejected(now, ip)
+        }
+        next_members = self.next_members(now)
+        newcomers = set(next_members) - set(reconfiguration.members)
+        wanted = reconfiguration.preferred_copies(now) | reconfiguration.preferred_copies(now, next_members)
+        return (reconfiguration.required_copies() | wanted | newcomers | late) - {self.peers.own_ip}
+
+    def is_in_other_zone(self, ip: str) -> bool:
+        """Return whether a machine lies in another zone than this one."""
+        return self.peers.span_zones({ip, self.peers.own_ip})
+
+    def replicate(self, now: int) -> list[Output]:
+        """Send the newest state to each target that lacks it and was not sent it lately."""
+        outputs: list[Output] = []
+        newest = state_stamp(self.durable.state)
+        for ip in sorted(self.targets(now)):
+            progress = self.progress.of(ip)
+            if progress.copy_stamp >= newest or progress.amnesiac:
+                continue
+            if progress.sent_stamp != newest or self.is_resend_due(now, ip, progress):
+                outputs += self.send_write(now, ip, progress)
+        return outputs
+
+    def is_resend_due(self, now: int, ip: str, progress: ReplicaProgress) -> bool:
+        """Return whether a write that was sent before is to be sent again."""
+        is_over = now >= progress.last_sent_at + progress.resend_delay_us
+        return is_over and self.progress.is_reachable(now, ip)
+
+    def send_write(self, now: int, ip: str, progress: ReplicaProgress) -> list[Output]:
+        """Send the newest state to one machine, with as little of the configuration as it needs."""
+        state = self.durable.state
+        self.note_sending(now, progress)
+        delta = self.delta_for(progress)
+        holds_configuration = progress.copy_stamp >= self.history.current_since and state.version
+        if delta is not None or holds_configuration:
+            state = without_configuration(state)
+        progress.sent_bytes = delta.ByteSize() if delta is not None else len(state.configuration)
+        write = Write(
+            epoch=self.epoch,
+            state=state,
+            committed=self.committed_stamp(now),
+            life=self.peers.incarnations.get(ip, 0),
+            delta=delta,
+        )
+        return [Send(ip, ControlMessage(write=write))]
+
+    def note_sending(self, now: int, progress: ReplicaProgress) -> None:
+        """Record that the newest state is sent; the delay before the next sending doubles."""
+        stamp = state_stamp(self.durable.state)
+        if progress.sent_stamp == stamp:
+            progress.resend_delay_us = min(2 * progress.resend_delay_us, self.timing.max_resend_delay_us)
+        else:
+            progress.sent_stamp, progress.first_sent_at = stamp, now
+            progress.resend_delay_us = self.timing.resend_delay_us
+        progress.last_sent_at = now
+
+    def delta_for(self, progress: ReplicaProgress) -> BodyDelta | None:
+        """Return the delta for a machine that holds the previous configuration; None: send all of it.
+
+        Whoever is sent the first write of an epoch is expected to hold what this machine held.  A receiver
+        that lacks a chunk says so and is sent the whole body: a wrong guess costs one round trip.
+        """
+        if progress.needs_full_body or progress.copy_stamp >= self.history.current_since:
+            return None
+        is_guess = self.committed is None and progress.copy_stamp == ZERO_STAMP and not progress.amnesiac
+        if is_guess or progress.copy_stamp >= self.history.previous_since > ZERO_STAMP:
+            return self.history.delta()
+        return None
+
+    def on_write_reply(self, now: int, sender: str, reply: WriteReply) -> list[Output]:
+        """Take a reply of this epoch; one that lacked a delta's base is sent the whole body."""
+        progress = self.progress.find(sender)
+        if progress is None or reply.epoch != self.epoch:
+            return []
+        if reply.need_whole:
+            progress.copy_stamp, progress.needs_full_body = ZERO_STAMP, True
+            return self.send_write(now, sender, progress)
+        self.progress.on_write_reply(sender, reply)
+        return []
+
+    # -- late copies ---------------------------------------------------------------------------
+
+    def eject_late_copies(self, now: int) -> None:
+        """Eject copies that are late with the write, so that they are not chosen for a while.
+
+        Without it a disk that stalls again and again would hold up a write each time.
+        """
+        newest = state_stamp(self.durable.state)
+        copies = self.reconfiguration.required_copies()
+        for ip in self.targets(now):
+            progress = self.progress.of(ip)
+            if progress.sent_stamp != newest or progress.copy_stamp >= newest:
+                continue
+            if now >= progress.first_sent_at + self.write_timeout_us(ip, progress):
+                progress.ejected_until = now + self.timing.ejection_us
+                if ip not in copies:
+                    progress.sent_stamp = ZERO_STAMP  # when it is chosen again its time begins again
+
+    def write_timeout_us(self, ip: str, progress: ReplicaProgress) -> int:
+        """Return how long a copy may take to sync the write: a time by zone, and 1 us a byte sent.
+
+        Safety: the copy in another zone is waited for longer; without it the loss of this zone would be more
+        than is tolerated.
+        """
+        timing = self.timing
+        base_us = timing.other_zone_timeout_us if self.is_in_other_zone(ip) else timing.write_timeout_us
+        return base_us + progress.sent_bytes
+
+    def successor_for_late_disk(self, now: int) -> str:
+        """Return who should lead as this machine's own disk is late with the write; empty: nobody."""
+        # The disk may have to write the whole configuration: 1 us a byte.
+        timeout_us = self.timing.own_disk_timeout_us + len(self.durable.state.configuration)
+        is_late = now >= self.last_write_at + timeout_us
+        if self.durable.synced_stamp >= state_stamp(self.durable.state) or not is_late:
+            return ""
+        return self.successor(now)
+
+    def successor(self, now: int) -> str:
+        """Return the eligible copy with the newest state; empty: there is none."""
+        others = [ip for ip in self.reconfiguration.current.copies if ip != self.peers.own_ip]
+        eligible = [ip for ip in others if self.progress.is_eligible(now, ip)]
+        candidates = [(self.progress.copy_stamp(now, ip), ip) for ip in eligible]
+        newest, ip = max(candidates, default=(ZERO_STAMP, ""))
+        return ip if newest > ZERO_STAMP else ""
+
+    # -- copies that are no longer needed ------------------------------------------------------
+
+    def drop_unneeded_copies(self, now: int) -> list[Output]:
+        """Tell machines that the established replica set no longer names to drop their copies."""
+        reconfiguration = self.reconfiguration
+        is_settled = reconfiguration.is_established and reconfiguration.proposed is None
+        if not is_settled or self.committed is None:
+            return []
+        if now < reconfiguration.established_at + self.timing.copy_retention_us:
+            return []
+        # Safety: what is being written now may still be needed on the targets.
+        targets, dropped_stamp = self.targets(now), state_stamp(self.committed)
+        outputs: list[Output] = []
+        for ip in [*reconfiguration.other_voters(), *self.progress.learners]:
+            progress = self.progress.of(ip)
+            if ip not in targets and progress.has_copy:
+                progress.dropped_stamp, progress.has_copy = dropped_stamp, False
+                progress.copy_stamp = ZERO_STAMP
+                drop = Drop(epoch=self.epoch, stamp=stamp_message(dropped_stamp))
+                outputs.append(Send(ip, ControlMessage(drop=drop)))
+        return outputs
+
+    def must_rewrite_dropped_copy(self, now: int) -> bool:
+        """Return whether a target was told to drop this very state.
+
+        Its copy counts under a later stamp only, as the message to drop may arrive late.
+        """
+        newest = state_stamp(self.durable.state)
+        return any(self.progress.of(ip).dropped_stamp >= newest for ip in self.targets(now))
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -22,68 +22,77 @@
 
 
 def stamp_tuple(stamp: Stamp) -> StampTuple:
+    """Return a stamp message as (epoch, sequence number)."""
     return stamp.epoch, stamp.seq
 
 
 def stamp_message(at: StampTuple) -> Stamp:
+    """Return a stamp as the wire's message."""
     return Stamp(epoch=at[0], seq=at[1])
 
 
 def state_stamp(state: ControlState) -> StampTuple:
+    """Return the stamp of a state."""
     return stamp_tuple(state.stamp)
 
 
 def majority(count: int) -> int:
+    """Return the size of a majority."""
     return count // 2 + 1
 
 
 def is_majority_of(members: Sequence[str], some: Iterable[str]) -> bool:
-    """Whether those of `some` that are members are a majority of them."""
+    """Return whether those of `some` that are members are a majority of them."""
     return len(set(members).intersection(some)) >= majority(len(members))
 
 
 def electorates(replica_set: ReplicaSet) -> list[Sequence[str]]:
-    """The sets of voters of which a majority each is needed: two while members are being changed."""
+    """Return the sets of voters of which a majority each is needed: two while voters are being changed."""
     sets = (replica_set.members, replica_set.previous_members)
     return [tuple(voters) for voters in sets if voters]
 
 
 def voters(replica_set: ReplicaSet) -> set[str]:
-    """All machines of all electorates."""
+    """Return all machines of all electorates."""
     return {ip for electorate in electorates(replica_set) for ip in electorate}
 
 
 def has_quorum(replica_set: ReplicaSet, voters_present: Iterable[str]) -> bool:
-    """Whether `some` hold a majority of each electorate."""
+    """Return whether the machines given hold a majority of each electorate."""
     present = set(voters_present)
     return all(is_majority_of(electorate, present) for electorate in electorates(replica_set))
 
 
 def first_state() -> ControlState:
+    """Return the empty state of the first start."""
     return ControlState(stamp=stamp_message(ZERO_STAMP))
 
 
 def first_replica_set(members: Iterable[str]) -> ReplicaSet:
-    """Of the first start: everybody holds the empty state."""
+    """Return the replica set of the first start: every machine holds the empty state."""
     named = sorted(set(members))
     return ReplicaSet(copies=named, members=named)
 
 
 def replica_set_id(replica_set: ReplicaSet) -> StampTuple:
+    """Return epoch and number of a replica set, by which sets are ordered."""
     return replica_set.epoch, replica_set.number
 
 
 def newest_replica_set(replica_sets: Iterable[ReplicaSet]) -> ReplicaSet:
+    """Return the newest of some replica sets."""
     return max(replica_sets, key=replica_set_id)
 
 
 def copies_needed(members: int, losses: int) -> int:
-    """One more than may be lost, and so many that each majority of the members has one of them."""
+    """Return how many copies a write needs: one more than may be lost, and one in each majority of the
+    members.
+    """
     return min(max(losses + 1, members - majority(members) + 1), majority(members))
 
 
 def copy_state(state: ControlState, stamped: StampTuple | None = None) -> ControlState:
-    """A copy, with another stamp."""
+    """Return a copy, under another stamp where one is given."""
     made = ControlState()
     made.CopyFrom(state)
     if stamped is not None:
@@ -92,7 +101,7 @@
 
 
 def apply_order(state: ControlState, order: Order) -> Result[ControlState, Fault]:
-    """The state after one order; the very same object where the order changes nothing."""
+    """Return the state after one order; the very same object where the order changes nothing."""
     if isinstance(order, ReplaceOrder):
         return apply_replace(state, order)
     if isinstance(order, EvacuationOrder):
@@ -101,7 +110,9 @@
 
 
 def apply_replace(state: ControlState, order: ReplaceOrder) -> Result[ControlState, Fault]:
-    """The highest version holds: a lower one changes nothing, and an equal one has to be the same order."""
+    """Replace the configuration. The highest version wins: a lower one changes nothing, an equal one has to
+    be the same.
+    """
     if order.version == state.version and order.body != state.configuration:
         return Failure(version_conflict(order.version))
     if order.version <= state.version:
@@ -112,12 +123,14 @@
 
 
 def version_conflict(version: int) -> Fault:
+    """Return the error of a version that another body already has."""
     return Fault(
         Kind.CONFLICT, f"r{version} is taken by another body: read it back, and send a higher version"
     )
 
 
 def apply_evacuation(state: ControlState, order: EvacuationOrder) -> Result[ControlState, Fault]:
+    """Begin or end the evacuation of a zone."""
     current = first((e for e in state.evacuations if e.zone == order.zone), None)
     if order.on == (current is not None and current.on):
         return Success(state)
@@ -136,11 +149,12 @@
 
 
 def last_evacuation_order(state: ControlState, zone: str) -> int:
-    """Number of the zone's last order of evacuation; 0: there was none."""
+    """Return the number of a zone's last order of evacuation; 0: there was none."""
     return max((e.order for e in state.evacuations if e.zone == zone), default=0)
 
 
 def without_configuration(state: ControlState) -> ControlState:
+    """Return a state whose configuration is left out."""
     made = ControlState(
         stamp=state.stamp,
         version=state.version,
@@ -151,10 +165,10 @@
 
 
 def with_configuration(state: ControlState, copy: ControlState) -> ControlState | None:
-    """A state whose configuration was left out, filled from the copy held here; None: it is not held.
+    """Fill in a configuration that was left out, from the copy held here; None: it is not held.
 
-    Danger: a version may have been written by another epoch with another body and never committed.  Within
-    one epoch a version has one body, so only a copy of the same epoch will do.
+    Safety: another epoch may have written a version with another body and never committed it. Within one
+    epoch a version has one body, so only a copy of the same epoch will do.
     """
     if copy.version != state.version or copy.stamp.epoch != state.stamp.epoch:
         return None
@@ -162,6 +176,7 @@
 
 
 def with_body(state: ControlState, body: bytes) -> ControlState:
+    """Fill in a configuration that was left out."""
     made = copy_state(state)
     made.configuration, made.configuration_left_out = body, False
     return made
--- a/vetchusher/control/seats.py
+++ b/vetchusher/control/target_members.py
@@ -18,12 +18,14 @@
     """What the target is worked out from.
 
     :param members: the voters of today
-    :param gone: of them, those that are leaving or have not been heard, the most urgent first
-    :param gone_for_long: of them, those not heard for so long that nobody waits for their return
-    :param spares: learners that may take a seat, in order of preference
-    :param primary: the member that leads
-    :param keep: members that keep their seats while others can give theirs: the primary and holders of copies
-    :param zones: by ip, as far as is known
+    :param unavailable: those of them that are leaving or unreachable, the most urgent first
+    :param long_unavailable: those of them that were unreachable for so long that nobody waits for their
+        return
+    :param ready_learners: learners that may take a seat, in order of preference
+    :param primary: the voter that leads
+    :param protected: voters that keep their seats while others can give theirs: the primary and holders of
+        copies
+    :param zones: by address, as far as is known
     """
 
     members: Sequence[str]
@@ -36,14 +38,14 @@
 
 
 def voters_for(losses: int) -> int:
-    """Voters of which so many may be lost while a majority is left."""
+    """Return the number of voters of which so many may be lost while a majority is left."""
     return max(2 * losses + 1, MIN_VOTERS)
 
 
 def next_members(view: MembershipView, size: int) -> list[str]:
-    """The voters that there should be; the very members where nothing is to be changed.
+    """Return the voters that there should be; the very members where nothing is to be changed.
 
-    :param size: voters that there should be at most after growing
+    :param size: the number of voters to grow to
     """
     members, learners = list(view.members), list(view.ready_learners)
     _replace_unavailable(members, learners, view)
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -277,7 +277,7 @@
         for machine in self.world.machines.values():
             work = machine.member.primary_role if machine.member is not None else None
             if work is not None and self.world.holds(machine.ip):
-                return machine.ip == ip or ip in work.replication_targets(machine.now(self.world.at))
+                return machine.ip == ip or ip in work.replicator.targets(machine.now(self.world.at))
         return True
 
     # -- what was measured ---------------------------------------------------------------------
@@ -314,5 +314,5 @@
     if work is not None:
         progress = work.progress
         count += len(progress.round_sent_at) + len(progress.members) + len(progress.learners)
-        count += len(work.pending_changes) + len(work.orders_in_write) + len(work.pending_reads)
+        count += len(work.orders.pending())
     return count
--- a/vetchusher/emulator/control/encoding_cases.py
+++ b/vetchusher/emulator/control/encoding_cases.py
@@ -27,6 +27,7 @@
     Persist,
     PersistentState,
     Replica,
+    ReplicaSettings,
     RetrieveOrder,
     Submitted,
     Tick,
@@ -194,17 +195,8 @@
 
     def start(self, cell: Cell, at: int, first: bool = False) -> Cell:
         life = cell.life + 1
-        member = Replica(
-            cell.ip,
-            cell.zone,
-            self.seeds,
-            first,
-            cell.disk,
-            self.timing,
-            Chance(cell.place - 1, life),
-            at - cell.slow,
-            LOSSES,
-        )
+        settings = ReplicaSettings(cell.ip, cell.zone, self.seeds, first, self.timing, LOSSES)
+        member = Replica(settings, cell.disk, Chance(cell.place - 1, life), at - cell.slow)
         return self.keep(replace(cell, member=member, life=life, saving=None, stopped=False))
 
     def down(self, cell: Cell, landed: bool = False, wiped: bool = False) -> Cell:
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -15,18 +15,20 @@
     deltas,
     durable_state,
     election,
+    follower,
     messages,
     orders,
     progress,
     reconfiguration,
-    seats,
     state,
+    target_members,
     voter,
-    witness,
 )
 from vetchusher.control.chunks import chunk_digest, parse_manifest
+from vetchusher.control.leader_lease import LeaderLease
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
+from vetchusher.control.replication import Replicator
 from vetchusher.control.state import (
     ZERO_STAMP,
     StampTuple,
@@ -83,7 +85,7 @@
     return bool(set(some))
 
 
-def one_copy_is_enough(self: Primary, now: int, began: int) -> bool:
+def one_copy_is_enough(self: Replicator, now: int, began: int) -> bool:
     newest = state_stamp(self.durable.state)
     return self.reconfiguration.is_established and any(
         self.reconfiguration.has_copy_since(now, ip, newest) for ip in self.reconfiguration.required_copies()
@@ -115,7 +117,7 @@
     REAL_PROPOSE(self, copies, members)
 
 
-def one_more_then_one_less(roster: seats.MembershipView, size: int) -> list[str]:
+def one_more_then_one_less(roster: target_members.MembershipView, size: int) -> list[str]:
     """The newcomer beside the one that it replaces, which is left out later."""
     members, spares = list(roster.members), list(roster.ready_learners)
     if spares:
@@ -186,7 +188,7 @@
 def answers_at_once(self: Replica, now: int, epoch: int, found: ReplicaSet) -> None:
     REAL_LEAD(self, now, epoch, found)
     assert self.primary_role is not None
-    self.primary_role.committed, self.primary_role.write_began_at = self.durable.state, None
+    self.primary_role.replicator.commit()
 
 
 def from_the_answer(self: progress.ProgressTracker, sender: str, answer: LeaseRenewalReply) -> None:
@@ -321,7 +323,7 @@
         (reconfiguration.Reconfiguration, "has_copy_since", own_copy_at_once),
     ),
     "a refused save counts as synced": ((durable_state.DurableState, "on_persisted", refused_is_synced),),
-    "acknowledged with one copy": ((Primary, "is_committed", one_copy_is_enough),),
+    "acknowledged with one copy": ((Replicator, "is_write_replicated", one_copy_is_enough),),
     "a record without a majority": ((reconfiguration, "has_quorum", one_is_enough),),
     "a copy named before it is whole": ((Primary, "propose_replica_set", named_before_taught),),
     "elected without a majority": ((election, "has_quorum", one_is_enough),),
@@ -334,7 +336,7 @@
     "no other zone": ((reconfiguration.Reconfiguration, "preferred_copies", one_zone),),
     "no margin for drift": ((Replica, "__init__", counts_too_long),),
     "lease counted from the answer": ((progress.ProgressTracker, "on_renewal_reply", from_the_answer),),
-    "a lease without end": ((Primary, "has_valid_lease", lambda self, now: True),),
+    "a lease without end": ((LeaderLease, "is_valid", lambda self, now: True),),
     "promises while another leads": ((Replica, "vote_delay", lambda self, now, candidate, released=0: 0),),
     "votes at once after a start": ((voter.Voter, "__init__", speaks_at_once),),
     "anybody is taken for the owner": ((voter.Voter, "has_voted_for", lambda self, candidate: True),),
@@ -350,7 +352,7 @@
         (progress.ProgressTracker, "on_write_reply", copies_for_good),
         (progress.ProgressTracker, "on_renewal_reply", never_lower),
     ),
-    "renews though it hears nobody": ((Primary, "has_no_majority_contact", lambda self, now: False),),
+    "renews though it hears nobody": ((LeaderLease, "has_no_majority_contact", lambda self, now: False),),
     "a copy is chosen that does not answer": (
         (progress.ProgressTracker, "is_answering", lambda self, now, ip: True),
     ),
@@ -365,8 +367,8 @@
         (reconfiguration, "next_members", lambda roster, size: list(roster.members)),
     ),
     "a leaving machine does not wait": ((Replica, "is_needed", lambda self, now: False),),
-    "a delta is put onto whatever is held": ((witness, "apply_delta", whatever_is_there),),
-    "a late copy is waited for": ((Primary, "eject_late_copies", lambda self, now: None),),
+    "a delta is put onto whatever is held": ((follower, "apply_delta", whatever_is_there),),
+    "a late copy is waited for": ((Replicator, "eject_late_copies", lambda self, now: None),),
     "messages that waited through a stop are news": ((Replica, "__init__", never_stood_still),),
     "a number has any body": ((orders.OrderBatch, "decide_replace", any_body_is_acknowledged),),
     "refused before the other is committed": ((orders.OrderBatch, "decide_replace", refuses_at_once),),
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -27,6 +27,7 @@
     Received,
     ReplaceOrder,
     Replica,
+    ReplicaSettings,
     RetrieveOrder,
     Send,
     ShutDown,
@@ -201,18 +202,10 @@
         if machine.member is not None or machine.gone:
             return
         machine.life += 1
-        machine.member = Replica(
-            ip,
-            machine.zone,
-            self.seeds if first else self.seeds_now(),
-            first,
-            machine.disk,
-            self.scene.timing,
-            random.Random(self.rng.randrange(1 << 30)),
-            machine.now(self.at),
-            self.scene.losses,
-            self.floors.get(ip),
-        )
+        seeds = self.seeds if first else self.seeds_now()
+        settings = ReplicaSettings(ip, machine.zone, seeds, first, self.scene.timing, self.scene.losses)
+        rng = random.Random(self.rng.randrange(1 << 30))
+        machine.member = Replica(settings, machine.disk, rng, machine.now(self.at), self.floors.get(ip))
         life = machine.life
         self.after(self.rng.randrange(TICK), lambda: self.tick(machine, life))
 
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -19,7 +19,7 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.control import PersistentState
-from vetchusher.control.store import ScanResult, StoredCopy
+from vetchusher.control.stored_rows import ScanResult, StoredCopy
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import NEVER, Source
 from vetchusher.emulator.fleet_world import MS, SECOND
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -79,15 +79,16 @@
         self.loop, self.node, self.paths, self.now, self.note = loop, node, paths, now, note
         seeds = [host for host, _ in node.seed_nodes]
         self.member = Replica(
-            node.ip_address,
-            node.zone,
-            seeds,
-            node.first_start,
+            control.ReplicaSettings(
+                node.ip_address,
+                node.zone,
+                seeds,
+                node.first_start,
+                losses=node.tolerance.machine_losses,
+            ),
             kept,
-            control.Timing(),
             rng,
             now(),
-            node.tolerance.machine_losses,
             store.imported_state,
         )
         self.saving = Persister(loop, store, self.saved, note)
--- a/vetchusher/node/folders.py
+++ b/vetchusher/node/folders.py
@@ -18,7 +18,7 @@
 from vetchusher.control import PersistentState, Store, archive
 from vetchusher.control.database_file import FILE_NAME, format_in_header
 from vetchusher.control.digests import FAN_OUT
-from vetchusher.control.restore import imported_state_of
+from vetchusher.control.imported_state import imported_state_of
 from vetchusher.distribution.rows import digest
 from vetchusher.kinds import Fault, Kind
 from vetchusher.settings.configuration import read_configuration
