--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -25,18 +25,18 @@
 from benchmarks.capacity.fleet import acknowledged
 from vetchusher.control import Store
 from vetchusher.directory.presence import Presence
-from vetchusher.discovery.reader import Reader, read_page
+from vetchusher.discovery.reader import ServerListReader, read_page
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import rows_of
-from vetchusher.distribution.snapshot import SnapshotStore, whole
+from vetchusher.distribution.snapshot import SnapshotStore, snapshot_of
 from vetchusher.distribution.source import Source
 from vetchusher.events import LogEvent
-from vetchusher.limits.totals import Holder
+from vetchusher.limits.totals import QuotaCoordinator
 from vetchusher.limits.windows import Bounds as QuotaBounds
 from vetchusher.node import operator_api
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import Paths
+from vetchusher.node.paths import PeerNetwork
 from vetchusher.routing.claims import Seen
 from vetchusher.routing.request import Answer, Head, Send, judge
 from vetchusher.settings.compiled import form
@@ -161,7 +161,7 @@
 
 async def take(node: EdgeNode, file: Path) -> None:
     news = wire.News.FromString(file.read_bytes())
-    await node.following.taken(0, news)
+    await node.subscriber_driver.apply_updates(0, news)
     while node.reader is not None:
         await asyncio.sleep(0.002)
 
@@ -171,7 +171,7 @@
 ) -> dict[str, Any]:
     place, loop = Path(folder), asyncio.get_running_loop()
     node_settings = settings("e0", ME, False)
-    paths = Paths(loop, ME, ZONE, 0, lambda frame, way: None, silent)
+    paths = PeerNetwork(loop, ME, ZONE, 0, lambda frame, way: None, silent)
     node = EdgeNode(loop, node_settings, paths, random.Random(1), steady_us, silent)
     gc.freeze()
     gc.enable()
@@ -192,7 +192,7 @@
     found["version"], found["servers_known"] = node.version, len(node.known)
     found["request_us"], found["request_99_us"] = requests(node, routes, tenants)
     node.front.tries.session.detach()
-    await node.following.close()
+    await node.subscriber_driver.close()
     return found
 
 
@@ -208,7 +208,7 @@
     rng, ground, spent = random.Random(1), node.front.ground, []
     ground.fresh_until = 1 << 62
     drawn = [rng.randrange(tenants) for _ in range(DRAWN)]
-    held = Holder(1, steady_us())
+    held = QuotaCoordinator(1, steady_us())
     assert ground.table is not None
     quotas = ground.table.configuration.tenants
     held.configure(steady_us(), {name: quotas[name] for name in (f"t{n:06d}" for n in drawn)})
@@ -236,11 +236,11 @@
     return statistics.median(spent), statistics.quantiles(spent, n=100)[98]
 
 
-def sync(node: EdgeNode, held: Holder) -> None:
+def sync(node: EdgeNode, held: QuotaCoordinator) -> None:
     """The totals of the drawn tenants, as the holder would tell them."""
     push = node.tally.push(steady_us())
     if push is not None:
-        node.tally.heard(steady_us(), held.push(steady_us(), push))
+        node.tally.on_totals(steady_us(), held.on_push(steady_us(), push))
 
 
 # -- a control member ------------------------------------------------------------------------------
@@ -255,7 +255,7 @@
     with tempfile.TemporaryDirectory() as folder:
         store = Store.open(folder).unwrap()
         shelf = SnapshotStore.open(folder).unwrap()
-        paths = Paths(loop, "10.0.0.1", ZONE, 0, lambda frame, way: None, silent)
+        paths = PeerNetwork(loop, "10.0.0.1", ZONE, 0, lambda frame, way: None, silent)
         node_settings = settings("c0", "10.0.0.1", True)
         node = ControlNode(
             loop, node_settings, paths, store, None, shelf, random.Random(1), steady_us, silent
@@ -264,7 +264,7 @@
         gc.enable()
         watch, found = Watch(), dict[str, Any]()
         ticking = loop.create_task(node.run())
-        while not node.member.is_leader(steady_us()):
+        while not node.replica.is_leader(steady_us()):
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.2)
         found["start_mb"] = memory_mb()
@@ -285,8 +285,8 @@
 
 async def order(node: ControlNode, body: bytes, version: int) -> None:
     """Until it is acknowledged, told to readers, and put away."""
-    acknowledged(await node.settle(operator_api.ReplaceConfiguration(body))).unwrap()
-    while node.applying.behind or node.control.stamp > node.shelved.get("control", (0, 0)):
+    acknowledged(await node.execute(operator_api.ReplaceConfiguration(body))).unwrap()
+    while node.commit_publisher.is_behind or node.control.stamp > node.shelved.get("control", (0, 0)):
         await asyncio.sleep(0.005)
 
 
@@ -298,10 +298,10 @@
     found = {}
     for name, vector in (("whole", none), ("delta", last)):
         used = time.process_time()
-        found[f"{name}_bytes"] = float(len(node.telling.news(vector)))
+        found[f"{name}_bytes"] = float(len(node.update_cache.updates_for(vector)))
         found[f"{name}_ms"] = (time.process_time() - used) * 1e3
     used = time.process_time()
-    whole(node.control)
+    snapshot_of(node.control)
     found["put_away_ms"] = (time.process_time() - used) * 1e3
     return found
 
@@ -318,7 +318,7 @@
     """:param named: tenants in a push: those that passed since the last"""
     shape = Tenant("", (), None, 5.0, 5.0, frozenset())
     start = memory_mb()
-    held = Holder(1, 0, QuotaBounds(5.0, 0.1, 20.0))
+    held = QuotaCoordinator(1, 0, QuotaBounds(5.0, 0.1, 20.0))
     held.configure(0, {f"t{n:06d}": shape for n in range(tenants)})
     pools_mb = memory_mb() - start
     nodes = {f"e{n}": 0 for n in range(ingresses)}
@@ -337,14 +337,14 @@
     for push in pushes:
         now += int(SYNC_S * 1e6 / ingresses)
         used = time.process_time()
-        answered += held.push(now, push).ByteSize()
+        answered += held.on_push(now, push).ByteSize()
         spent.append((time.process_time() - used) * 1e6)
     late = spent[count // 2 :]
     return {
         "push_us": statistics.mean(late),
         "answer_bytes": answered / count,
         "tick_us": timed_us(lambda: held.fleet(now, nodes), 5),
-        "standing_us": timed_us(held.standing, 5),
+        "standing_us": timed_us(held.log_fields, 5),
         "pools_mb": pools_mb,
         "mb": memory_mb() - start,
     }
@@ -353,14 +353,14 @@
 async def words(ingresses: int, tenants: int) -> dict[str, Any]:
     """What the holder keeps once each ingress has passed something of each tenant."""
     shape = Tenant("", (), None, 5.0, 5.0, frozenset())
-    held, names = Holder(1, 0, QuotaBounds(5.0, 0.1, 20.0)), [f"t{n:06d}" for n in range(tenants)]
+    held, names = QuotaCoordinator(1, 0, QuotaBounds(5.0, 0.1, 20.0)), [f"t{n:06d}" for n in range(tenants)]
     held.configure(0, dict.fromkeys(names, shape))
     held.fleet(0, {f"e{n}": 0 for n in range(ingresses)})
     start, now = memory_mb(), 0
     for ingress in range(ingresses):
         now += SECOND_US
         passed = [wire.Passed(tenant=name, count=1, recent=1) for name in names]
-        held.push(now, wire.Push(node=f"e{ingress}", life=1, number=1, holder=1, passed=passed))
+        held.on_push(now, wire.Push(node=f"e{ingress}", life=1, number=1, holder=1, passed=passed))
     kept = sum(len(source.grants) for source in held.each_source())
     grown = memory_mb() - start
     return {"words": float(kept), "mb": grown, "bytes a word": grown * (1 << 20) / kept}
@@ -383,13 +383,13 @@
     ]
     used = time.process_time()
     for beat in beats:
-        presence.heard(0, beat)
+        presence.on_heartbeat(0, beat)
     heard_us = (time.process_time() - used) / ingresses * 1e6
     rows = presence.rows(0)
     return {
         "heard_us": heard_us,
         "rows_us": timed_us(lambda: presence.rows(0), 10),
-        "answer_us": timed_us(lambda: presence.name(0, "region0", "region0-0"), 10),
+        "answer_us": timed_us(lambda: presence.resolve(0, "region0", "region0-0"), 10),
         "rows_bytes": float(made.source_news("directory", 1, rows).ByteSize()),
     }
 
@@ -399,7 +399,7 @@
     zones = made.zones_of()
     names, nodes = list(zones), [(f"e{n}", f"region{n % 4}") for n in range(ingresses)]
     pages = made.pages(servers, 130, names)
-    start, read, source = memory_mb(), Reader(zones, {}), Source("discovery")
+    start, read, source = memory_mb(), ServerListReader(zones, {}), Source("discovery")
     found: dict[str, Any] = {"calls": float(len(pages))}
     for name in ("first", "next"):
         used = time.process_time()
--- a/benchmarks/capacity/configurations.py
+++ b/benchmarks/capacity/configurations.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from vetchusher.directory.naming import Entrance, row_of
-from vetchusher.discovery.reader import Known, Listed, write_row
+from vetchusher.discovery.reader import KnownServer, ListedServer, write_row
 from vetchusher.distribution import wire_pb2 as wire
 
 REGIONS, ZONES_EACH = 4, 4
@@ -75,10 +75,10 @@
     return json.dumps(tree, separators=(",", ":")).encode()
 
 
-def listed(number: int, services: int, zones: list[str]) -> Listed:
+def listed(number: int, services: int, zones: list[str]) -> ListedServer:
     zone = zones[number // services % len(zones)]
     address = f"10.{100 + number // 65_000}.{number // 250 % 256}.{number % 250 + 1}:8080"
-    return Listed(f"i-{number:08x}", f"s{number % services:04d}", address, zone, "v1", 6, False, 0)
+    return ListedServer(f"i-{number:08x}", f"s{number % services:04d}", address, zone, "v1", 6, False, 0)
 
 
 def pages(servers: int, services: int, zones: list[str]) -> list[bytes]:
@@ -98,7 +98,7 @@
 
 def server_rows(servers: int, services: int, zones: list[str], keeper: str) -> dict[str, bytes]:
     """The list as rows of news."""
-    known = (Known(listed(n, services, zones), keeper, 0, 0) for n in range(servers))
+    known = (KnownServer(listed(n, services, zones), keeper, 0, 0) for n in range(servers))
     return {one.listed.instance: write_row(one) for one in known}
 
 
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -26,16 +26,16 @@
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.emulator.system.process_loops import Clockwork, Net, ProcessLoop, Wire
+from vetchusher.errors import Error
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault
 from vetchusher.node import operator_api
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import Paths
-from vetchusher.node.platform import Platform
+from vetchusher.node.paths import PeerNetwork
+from vetchusher.node.platform import ServerListClient
 from vetchusher.settings.node import Bounds, CloudApi, Listen, NodeSettings
 
-Settled: TypeAlias = Result[operator_api.Answer, Fault] | operator_api.Backed
+Settled: TypeAlias = Result[operator_api.Answer, Error] | operator_api.GuardedOutcome
 
 PORT = 7000
 IN_ZONE, BETWEEN_ZONES, BETWEEN_REGIONS = "in zone", "between zones", "between regions"
@@ -53,9 +53,9 @@
 HEADER = 66  # bytes of Ethernet, IP and TCP around each message, for what is reckoned of them
 
 
-def acknowledged(outcome: Settled) -> Result[operator_api.Answer, Fault]:
+def acknowledged(outcome: Settled) -> Result[operator_api.Answer, Error]:
     """What an operator would be told."""
-    return outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+    return outcome.checked_at_send() if isinstance(outcome, operator_api.GuardedOutcome) else outcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,15 +144,15 @@
         return super().run_in_executor(executor, timed, *args)
 
 
-class HollowPlatform(Platform):
+class HollowPlatform(ServerListClient):
     """The platform's list as pages made beforehand."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, found: list[bytes]) -> None:
         super().__init__(CloudApi(("10.200.0.1", 80)))
         self.loop, self.found = loop, found
 
-    async def page(self, token: str | None) -> Result[bytes, Fault]:
-        self.calls += 1
+    async def page(self, token: str | None) -> Result[bytes, Error]:
+        self.call_count += 1
         came = self.loop.create_future()
         self.loop.call_later(PAGE_US / 1e6, came.set_result, None)
         await came
@@ -271,7 +271,9 @@
         def note(event: LogEvent) -> None:
             self.note(process, event)
 
-        paths = Paths(loop, process.ip, process.zone, PORT, lambda frame, way: part.serve(frame, way), note)
+        paths = PeerNetwork(
+            loop, process.ip, process.zone, PORT, lambda frame, way: part.serve(frame, way), note
+        )
 
         def now() -> int:
             return int(loop.time() * 1e6)
@@ -282,7 +284,7 @@
             store = Store.open(place).unwrap()
             shelf = SnapshotStore.open(place).unwrap()
             part = ControlNode(loop, node, paths, store, store.load().unwrap(), shelf, rng, now, note)
-            part.platform = HollowPlatform(loop, self.pages)
+            part.server_list_client = HollowPlatform(loop, self.pages)
         else:
             part = EdgeNode(loop, node, paths, rng, now, note)
         process.part = part
@@ -290,14 +292,14 @@
         loop.create_task(part.run())
 
     def note(self, process: Process, event: LogEvent) -> None:
-        if event.event is Event.CONFIGURATION_IN_FORCE:
+        if event.event is Event.CONFIGURATION_APPLIED:
             process.version = int(cast(int, event.facts["version"]))
             process.version_at = self.clock.at
 
     def primary(self) -> Process:
         for process in self.cores:
             part = process.part
-            if isinstance(part, ControlNode) and part.member.is_leader(part.now()):
+            if isinstance(part, ControlNode) and part.replica.is_leader(part.now()):
                 return process
         raise LookupError("no primary")
 
@@ -331,8 +333,8 @@
     def record(self) -> wire.ReplicaSet:
         """Who holds copies and votes, as the primary has it."""
         part = self.primary().part
-        assert isinstance(part, ControlNode) and part.member.primary_role is not None
-        return part.member.primary_role.reconfiguration.current
+        assert isinstance(part, ControlNode) and part.replica.primary_role is not None
+        return part.replica.primary_role.reconfiguration.current
 
     def replace(self) -> int:
         """A new configuration, to the primary; the moment (us) of its acknowledgement."""
@@ -343,7 +345,7 @@
         part = cast(ControlNode, process.part)
 
         async def settle() -> None:
-            outcome = await part.settle(operator_api.ReplaceConfiguration(body))
+            outcome = await part.execute(operator_api.ReplaceConfiguration(body))
             if isinstance(acknowledged(outcome), Success):
                 done.append(self.clock.at)
 
@@ -394,10 +396,10 @@
         for process in self.processes.values():
             process.loop.end(False)
             if isinstance(process.part, ControlNode):
-                if (link := process.part.saving.store.connection) is not None:
+                if (link := process.part.persister.store.connection) is not None:
                     link.close()
-                if process.part.shelf is not None:
-                    process.part.shelf.close()
+                if process.part.snapshots is not None:
+                    process.part.snapshots.close()
             elif process.part is not None:
                 process.part.front.tries.session.detach()
         gc.unfreeze()
--- a/benchmarks/capacity/loopback.py
+++ b/benchmarks/capacity/loopback.py
@@ -27,7 +27,7 @@
 from vetchusher.node import operator_api
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import Channel, Paths
+from vetchusher.node.paths import Channel, PeerNetwork
 from vetchusher.settings.node import Listen, NodeSettings
 
 SETTLE_S, SPAN_S = 8.0, 8.0
@@ -81,7 +81,7 @@
             bounds=BOUNDS,
             listen=Listen() if core else Listen(front=(ip, 80)),
         )
-        paths = Paths(self.loop, ip, zone, PORT, lambda frame, way: part.serve(frame, way), silent)
+        paths = PeerNetwork(self.loop, ip, zone, PORT, lambda frame, way: part.serve(frame, way), silent)
         rng = random.Random(number)
         part: ControlNode | EdgeNode
         if core:
@@ -92,12 +92,12 @@
         await paths.open()
         self.tasks.append(self.loop.create_task(part.run()))
 
-    def control(self, node: NodeSettings, paths: Paths, rng: random.Random) -> ControlNode:
+    def control(self, node: NodeSettings, paths: PeerNetwork, rng: random.Random) -> ControlNode:
         place = str(self.folder / node.node_name)
         store, shelf = Store.open(place).unwrap(), SnapshotStore.open(place).unwrap()
         part = ControlNode(self.loop, node, paths, store, None, shelf, rng, steady_us, silent)
         pages = made.pages(self.size.servers, self.size.services, self.names)
-        part.platform = HollowPlatform(self.loop, pages)
+        part.server_list_client = HollowPlatform(self.loop, pages)
         return part
 
     async def run(self, counted: Counted) -> Figures:
@@ -124,8 +124,8 @@
         body = made.configuration(1, size.routes, size.services, size.tenants)
         for ip in self.cores:
             part = self.parts[ip]
-            if isinstance(part, ControlNode) and part.member.is_leader(steady_us()):
-                acknowledged(await part.settle(operator_api.ReplaceConfiguration(body))).unwrap()
+            if isinstance(part, ControlNode) and part.replica.is_leader(steady_us()):
+                acknowledged(await part.execute(operator_api.ReplaceConfiguration(body))).unwrap()
 
     async def close(self) -> None:
         for task in self.tasks:
@@ -133,7 +133,7 @@
         for part in self.parts.values():
             if isinstance(part, EdgeNode):
                 await part.front.tries.session.close()
-            await part.following.close()
+            await part.subscriber_driver.close()
             await part.paths.close()
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -87,7 +87,7 @@
         len(writes),
         len(reads),
         sum(w.ended < float("inf") for w in writes),
-        world.events["PRIMARY"],
+        world.events["BECAME_PRIMARY"],
         wrong,
     )
 
--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -34,7 +34,7 @@
 from vetchusher.control.state import apply_order, copy_state, first_replica_set, first_state, state_stamp
 from vetchusher.distribution.rows import rows_of
 from vetchusher.distribution.snapshot import SnapshotStore
-from vetchusher.distribution.source import NEVER, Source
+from vetchusher.distribution.source import ZERO_STAMP, Source
 from vetchusher.emulator.control.changes import TROUBLES, ChangesDay, Return, place
 from vetchusher.settings.configuration import read_configuration
 
@@ -128,7 +128,7 @@
         between, saved = written(), time.perf_counter()
         last = self.source.stamp
         self.source.publish(state_stamp(self.state), rows)
-        news = self.source.since(last)
+        news = self.source.update_since(last)
         assert news is not None
         told = time.perf_counter()
         self.snapshot.save(news).unwrap()
@@ -142,7 +142,7 @@
             median(cost) for cost in zip(*self.costs, strict=True)
         )
         self.costs.clear()
-        whole = self.source.since(NEVER)
+        whole = self.source.update_since(ZERO_STAMP)
         assert whole is not None
         return OnDisk(
             self.routes,
@@ -156,7 +156,7 @@
             1000 * told_s,
             delta,
             whole.ByteSize(),
-            len(self.source.gone),
+            len(self.source.removed),
             resident(),
             self.reopen(),
         )
--- a/benchmarks/totals.py
+++ b/benchmarks/totals.py
@@ -26,11 +26,11 @@
 from vetchusher.emulator.quota.ways import Central, EstimateAlone, GuardAlone, Split
 from vetchusher.emulator.quota.world import Found, Scene, Trouble, World
 from vetchusher.limits import windows
-from vetchusher.limits.tally import Tally
-from vetchusher.limits.totals import Holder
+from vetchusher.limits.tally import LocalQuota
+from vetchusher.limits.totals import QuotaCoordinator
 from vetchusher.settings.configuration import Tenant
 
-WAYS = {"ours": Tally, "estimate alone": EstimateAlone, "guard alone": GuardAlone, "fixed split": Split}
+WAYS = {"ours": LocalQuota, "estimate alone": EstimateAlone, "guard alone": GuardAlone, "fixed split": Split}
 CENTRAL = "central call"
 
 
@@ -248,7 +248,7 @@
         """us of processor for one decision, and for one push with its answer at the holder."""
         rows = []
         for tenants in (8, 1_000):
-            for name, make in (("both judges", Tally), ("guard alone", GuardAlone)):
+            for name, make in (("both judges", LocalQuota), ("guard alone", GuardAlone)):
                 decisions, pushes = zip(*(costs(make, tenants, requests) for _ in range(rounds)), strict=True)
                 cells = [
                     f"{statistics.median(found):.2f} ({min(found):.2f} to {max(found):.2f})"
@@ -299,10 +299,10 @@
     return worst / bound
 
 
-def costs(make: type[Tally], tenants: int, requests: int) -> tuple[float, float]:
+def costs(make: type[LocalQuota], tenants: int, requests: int) -> tuple[float, float]:
     names = [f"tenant{n}" for n in range(tenants)]
     known = {name: Tenant(name, (), None, 1e6, 1e6, frozenset()) for name in names}
-    tally, holder, rng = make("e0", 1), Holder(1, 0), random.Random(1)
+    tally, holder, rng = make("e0", 1), QuotaCoordinator(1, 0), random.Random(1)
     for side in (tally, holder):
         side.configure(0, known)
     holder.fleet(0, {"e0": 0})
@@ -317,7 +317,7 @@
         middle = time.process_time()
         push = tally.push(now)
         if push is not None:
-            tally.heard(now, holder.push(now, push))
+            tally.on_totals(now, holder.on_push(now, push))
             pushes += 1
         decided, told_us = decided + middle - begun, told_us + time.process_time() - middle
     return decided / requests * 1e6, told_us / max(1, pushes) * 1e6
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -41,7 +41,7 @@
 ]
 SHARED = [
     ["sockets"],
-    ["settings", "events", "kinds", "fields", "messages", "vetchusher"],
+    ["settings", "events", "errors", "fields", "messages", "vetchusher"],
 ]
 ABOVE = ["emulator"]  # stand-ins and virtual time; no part of either program imports them
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -24,9 +24,9 @@
 from vetchusher.emulator.system.mutations import planted
 from vetchusher.emulator.system.world import Scene, World
 from vetchusher.node import operator_api, paths, proxy
-from vetchusher.node.callers import hung_up, waited_s
-from vetchusher.node.lives import Lives
-from vetchusher.node.platform import Platform
+from vetchusher.node.callers import has_hung_up, unread_for_s
+from vetchusher.node.lives import IncarnationTracker
+from vetchusher.node.platform import ServerListClient
 from vetchusher.settings.node import CloudApi
 
 ID = "X-Vetchusher-Attempt-Id"
@@ -341,7 +341,7 @@
         for waited, status, runs in ((0.2, 200, 1), (4.0, 503, 0)):
             server = Scripted("i-1")
             async with ingress(server) as (_, port), Client(port) as client:
-                with mock.patch.object(proxy, "waited_s", lambda wire: waited):  # noqa: B023
+                with mock.patch.object(proxy, "unread_for_s", lambda wire: waited):  # noqa: B023
                     told, headers, _ = await client.ask("POST /once/1", b"x", left=3000)
                 self.assertEqual((status, runs), (told, sum(server.runs.values())))
                 self.assertEqual(status == 503, "retry-after" in headers)
@@ -374,7 +374,7 @@
                     writer.write(page("i-2", "null"))  # once more, late
 
         listener = await asyncio.start_server(connected, "127.0.0.1", 0)
-        platform = Platform(CloudApi(listener.sockets[0].getsockname()))
+        platform = ServerListClient(CloudApi(listener.sockets[0].getsockname()))
         try:
             for _ in range(4):
                 found = (await platform.read()).unwrap()
@@ -394,16 +394,16 @@
 
         async def run():
             settler = Settler()
-            door = operator_api.ControlDoor(settler, ("127.0.0.1", 0))
+            door = operator_api.ControlApi(settler, ("127.0.0.1", 0))
             door.open()
             caller = socket.create_connection(door.address)
             caller.sendall(raw)
             leave(caller, end)
             try:
                 if end != "keep":
-                    while not door.door.links:
+                    while not door.listener.links:
                         await asyncio.sleep(0)
-                    while door.door.links:
+                    while door.listener.links:
                         await asyncio.sleep(0)
                     return settler.calls
                 reader, writer = await asyncio.open_connection(sock=caller)
@@ -414,7 +414,7 @@
                 caller.close()
                 await door.close()
 
-        with mock.patch.object(operator_api, "waited_s", lambda wire: waited or waited_s(wire)):
+        with mock.patch.object(operator_api, "unread_for_s", lambda wire: waited or unread_for_s(wire)):
             return asyncio.run(asyncio.wait_for(run(), 30))
 
     def test_a_call_whose_caller_has_left_is_not_carried_out(self):
@@ -428,7 +428,7 @@
     def test_a_call_that_lay_unread_too_long_is_not_carried_out(self):
         """The operator may have left behind a cut, which tells nobody of it."""
         raw = message("POST /evacuation/a/initiate")
-        self.assertEqual((503, []), self.settled(raw, "keep", operator_api.ANSWER_S))
+        self.assertEqual((503, []), self.settled(raw, "keep", operator_api.CALLER_TIMEOUT_S))
         self.assertEqual((200, [operator_api.InitiateEvacuation("a")]), self.settled(raw, "keep", 0.1))
 
     def test_how_long_bytes_lie_there_is_known_without_reading_them(self):
@@ -438,15 +438,15 @@
                     **{"get_extra_info.return_value": taken, "is_closing.return_value": False}
                 )
                 caller.sendall(b"x")
-                while not waited_s(transport):
+                while not unread_for_s(transport):
                     pass
-                self.assertFalse(hung_up(transport))
+                self.assertFalse(has_hung_up(transport))
                 caller.sendall(b"x")
-                self.assertTrue(waited_s(transport) < 10.0)
+                self.assertTrue(unread_for_s(transport) < 10.0)
                 caller.shutdown(socket.SHUT_WR)
-                self.assertTrue(hung_up(transport))
+                self.assertTrue(has_hung_up(transport))
         closing = mock.Mock(**{"is_closing.return_value": True})  # its descriptor may be another's by now
-        self.assertEqual((0.0, True), (waited_s(closing), hung_up(closing)))
+        self.assertEqual((0.0, True), (unread_for_s(closing), has_hung_up(closing)))
         self.assertEqual([], closing.get_extra_info.call_args_list)
 
 
@@ -461,7 +461,7 @@
             loop = asyncio.get_running_loop()
             heard = asyncio.Queue()
             asks, other = (
-                paths.Paths(
+                paths.PeerNetwork(
                     loop, f"{net}{n}", "a", 17_561, lambda *frame: heard.put_nowait(frame), mock.Mock()
                 )
                 for n in (2, 3)
@@ -479,13 +479,13 @@
 
     def test_answers_come_to_their_own_questions_in_whatever_order(self):
         async def script(asks, other, heard):
-            questions = [asyncio.ensure_future(asks.ask(other.ip, wire.Frame(), 10.0)) for _ in range(3)]
+            questions = [asyncio.ensure_future(asks.request(other.ip, wire.Frame(), 10.0)) for _ in range(3)]
             came = [await heard.get() for _ in questions]
             for frame, way in (came[2], came[0], came[0], came[1], came[2]):  # two of them twice
                 way.reply(frame, wire.Frame(done=wire.OrderDone(number=frame.call)))
             told = [(await question).done.number for question in questions]
-            late = await asks.ask(other.ip, wire.Frame(), 0.0)
-            again = asyncio.ensure_future(asks.ask(other.ip, wire.Frame(), 10.0))
+            late = await asks.request(other.ip, wire.Frame(), 0.0)
+            again = asyncio.ensure_future(asks.request(other.ip, wire.Frame(), 10.0))
             for _ in range(2):  # the one that was given up is answered first
                 frame, way = await heard.get()
                 way.reply(frame, wire.Frame(done=wire.OrderDone(number=frame.call)))
@@ -502,11 +502,11 @@
         """An earlier life of who asks had the same numbers; what is still under way to it comes elsewhere."""
 
         async def script(asks, other, heard):
-            question = asyncio.ensure_future(asks.ask(other.ip, wire.Frame(), 10.0))
+            question = asyncio.ensure_future(asks.request(other.ip, wire.Frame(), 10.0))
             frame, way = await heard.get()
             earlier = wire.Frame(call=frame.call, reply=True, done=wire.OrderDone(text="of an earlier life"))
-            other.tell(asks.ip, earlier)
-            other.tell(asks.ip, wire.Frame())  # behind it on that connection
+            other.send(asks.ip, earlier)
+            other.send(asks.ip, wire.Frame())  # behind it on that connection
             await heard.get()
             way.reply(frame, wire.Frame(done=wire.OrderDone(text="of this one")))
             return (await question).done.text
@@ -518,13 +518,13 @@
     """What lies unread on a connection of a process that has ended since."""
 
     def test_who_spoke_on_a_later_connection_is_believed(self):
-        lives = Lives()
+        lives = IncarnationTracker()
         heard = [(7, 1), (7, 3), (5, 4), (7, 3), (7, 1), (5, 4), (9, 6), (5, 5), (7, 3), (9, 6), (0, 1)]
-        told = [lives.current("control", "10.0.0.2", life, connection) for life, connection in heard]
+        told = [lives.is_current("control", "10.0.0.2", life, connection) for life, connection in heard]
         expected = [True, True, True, False, False, True, True, False, False, True, True]
         self.assertEqual(expected, told)
         self.assertTrue(
-            lives.current("heartbeat", "10.0.0.2", 7, 1) and lives.current("control", "10.0.0.3", 7, 1)
+            lives.is_current("heartbeat", "10.0.0.2", 7, 1) and lives.is_current("control", "10.0.0.3", 7, 1)
         )
 
     def test_an_ingress_that_was_ready_is_not_ready_again_by_its_earlier_word(self):
@@ -542,7 +542,7 @@
         ):
             beat = wire.Heartbeat(node="e9", ip="10.0.1.9", front="10.0.1.9:80", life=life, standing=standing)
             part.serve(wire.Frame(sender="10.0.1.9", heartbeat=beat), mock.Mock(number=connection))
-            self.assertNotEqual(wire.READY, part.presence.ingresses["e9"].standing)
+            self.assertNotEqual(wire.READY, part.presence.ingresses["e9"].state)
 
     def test_a_core_machine_hears_nothing_of_an_earlier_life_of_another(self):
         world = World(Scene(seed=3))
@@ -613,7 +613,7 @@
         call = operator_api.InitiateEvacuation("gulf-b") if on else operator_api.TerminateEvacuation("gulf-b")
 
         async def settle():
-            outcomes.append((await machine.part.settle(call)).leaving())
+            outcomes.append((await machine.part.execute(call)).checked_at_send())
 
         machine.loop.call_soon(lambda: machine.loop.create_task(settle()))
         return outcomes
@@ -627,20 +627,20 @@
         self.assertEqual([Success(operator_api.EvacuationSet("gulf-b", on))], outcomes)
 
     def in_force(self):
-        state = self.world.machines[self.primary].part.member.durable.state
+        state = self.world.machines[self.primary].part.replica.durable.state
         return {one.zone: one.on for one in state.evacuations}.get("gulf-b", False)
 
     def cut_before(self, question):
         """Cut the two machines as the one that passes on is about to write that question."""
         part = self.world.machines[self.passing].part
-        real = part.paths.ask
+        real = part.paths.request
 
         def ask(ip, frame, patience_s):
             if frame.order.WhichOneof("order") == question:
                 self.world.cut(self.passing, [self.primary])
             return real(ip, frame, patience_s)
 
-        part.paths.ask = ask
+        part.paths.request = ask
 
     def held_up(self, question):
         """
@@ -666,7 +666,7 @@
     def test_the_same_frame_once_more_is_acknowledged_and_undoes_nothing(self):
         """Twice at once, and after the reverse order; a configuration under its version likewise."""
         part = self.world.machines[self.primary].part
-        state = part.member.durable.state
+        state = part.replica.durable.state
         configuration = wire.ReplaceConfiguration(body=state.configuration)
         evacuate = wire.Frame(order=wire.OrderAsked(evacuate=wire.Evacuate(zone="gulf-b", on=True, after=0)))
         told = []
@@ -683,7 +683,7 @@
         self.assertEqual([["", "", ""], ["", "", ""]], [sorted(kinds) for kinds in told[:2]])
         self.assertEqual(["", late, late], sorted(told[2]))
         self.assertFalse(self.in_force())
-        self.assertEqual(state.version, part.member.durable.state.version)
+        self.assertEqual(state.version, part.replica.durable.state.version)
 
     def test_each_of_the_two_is_seen_without_its_guard(self):
         with planted("an order of evacuation bears no number"):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -38,8 +38,8 @@
 from vetchusher.emulator.control.search import Trouble, drawn, raced
 from vetchusher.emulator.control.world import Scene, World
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.errors import ErrorCode
 from vetchusher.events import Event
-from vetchusher.kinds import Kind
 
 CALM = Scene(loss=0.0, late=0.0)
 FIVE = Scene(seeds=5, losses=2)
@@ -591,7 +591,7 @@
         self.assertEqual([[]] * len(runs), [run.run()[:1] for run in runs])
         for run in runs:
             self.assertTrue(len(run.world.judge.confirmed) > HUNDREDS)
-            self.assertTrue(run.world.events["ORDERS_CONFLICT"] > HUNDREDS)
+            self.assertTrue(run.world.events["VERSION_CONFLICT"] > HUNDREDS)
 
     def test_every_guard_taken_out_is_found(self) -> None:
         self.assertEqual(PLANTED.keys(), FOUND_BY.keys())
@@ -627,7 +627,9 @@
             EvacuationOrder("x", False),
         ):
             self.assertIs(state, apply_order(state, order).unwrap())
-        self.assertIs(Kind.CONFLICT, apply_order(state, ReplaceOrder(7, b"other")).failure().kind)
+        self.assertIs(
+            ErrorCode.VERSION_CONFLICT, apply_order(state, ReplaceOrder(7, b"other")).failure().code
+        )
         after = apply_order(
             apply_order(state, EvacuationOrder("south", True)).unwrap(), EvacuationOrder("north", False)
         ).unwrap()
@@ -641,10 +643,12 @@
         first, second = OrderBatch(held, None), None
         orders = [(5, b"five"), (5, b"other"), (4, b"x"), (8, b"8"), (6, b"6"), (6, b"other"), (6, b"6")]
         told = [first.decide(ReplaceOrder(*order)) for order in orders]
-        kinds = [d.outcome.failure().kind if isinstance(d.outcome, Failure) else None for d in told]
-        self.assertEqual([None, Kind.CONFLICT, None, None, None, Kind.CONFLICT, None], kinds)
+        kinds = [d.outcome.failure().code if isinstance(d.outcome, Failure) else None for d in told]
+        self.assertEqual(
+            [None, ErrorCode.VERSION_CONFLICT, None, None, None, ErrorCode.VERSION_CONFLICT, None], kinds
+        )
         self.assertEqual([False, False, False, True, True, True, True], [d.needs_commit for d in told])
-        self.assertEqual([Event.ORDERS_CONFLICT] * 2, [d.event.event for d in told if d.event])
+        self.assertEqual([Event.VERSION_CONFLICT] * 2, [d.event.event for d in told if d.event])
         # Orders that came while r8 was written: r5 was held as they came, and 6 was given away.
         for number, body, refused in (
             (5, b"x", 1),
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -23,7 +23,7 @@
 from vetchusher.emulator.system.scenarios import STOPPED, Scene, Story
 from vetchusher.emulator.system.search import Search, drawn
 from vetchusher.emulator.system.world import World
-from vetchusher.kinds import Fault
+from vetchusher.errors import Error
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 
@@ -230,10 +230,10 @@
     def test_the_list_is_told_on_by_a_primary_that_held_its_epoch_before(self) -> None:
         world = World(Scene(seed=3))
         leader = leader_of(world)
-        assert leader.duty is not None
+        assert leader.server_list_task is not None
         epoch, seq = leader.discovery.stamp
         self.assertGreater(seq, 1)
-        leader.duty.cancel()
+        leader.server_list_task.cancel()
         world.run(world.clock.at + SECOND)
         ip = min(world.servers.at_address)
         world.servers.drain(ip)
@@ -247,13 +247,13 @@
     def test_the_totals_are_held_on_by_it(self) -> None:
         world = World(Scene(seed=3))
         leader = leader_of(world)
-        holder = leader.holder
+        holder = leader.quota_coordinator
         assert holder is not None
         leader.end_duties()
         world.run(world.clock.at + SECOND)
-        self.assertIs(holder, leader.holder)
+        self.assertIs(holder, leader.quota_coordinator)
         leader.end_duties()
-        self.assertIsNot(holder, leader.holder_of(holder.life + 1, leader.now()))
+        self.assertIsNot(holder, leader.holder_of(holder.epoch + 1, leader.now()))
 
     def test_the_day_that_showed_it(self) -> None:
         self.assertEqual([], Search(drawn(590)).run())
@@ -271,7 +271,7 @@
         times = itertools.chain([decided_at], itertools.repeat(decided_at + stands_still))
         with (
             mock.patch.object(part, "now", lambda: next(times)),
-            mock.patch.object(part.paths, "tell", lambda to, frame: told.append(to)),
+            mock.patch.object(part.paths, "send", lambda to, frame: told.append(to)),
         ):
             part.feed(Tick())
         return bool(told)
@@ -282,19 +282,19 @@
         with planted("messages leave however late"):
             self.assertTrue(self.sends(STOPPED))
 
-    def passed_on(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
+    def passed_on(self, asked: wire.OrderAsked) -> Result[bytes, Error]:
         """What leaves the primary that hands over between the decision and its answer."""
         part = leader_of(World(Scene(seed=3)))
 
-        async def submit(order: Order) -> Result[bytes, Fault]:
+        async def submit(order: Order) -> Result[bytes, Error]:
             part.feed(ShutDown())
             return Success(b"r1")
 
         with mock.patch.object(part, "submit", submit):
             try:
-                part.settle_passed(asked).send(None)
+                part.execute_forwarded(asked).send(None)
             except StopIteration as done:
-                return cast(Result[bytes, Fault], done.value)
+                return cast(Result[bytes, Error], done.value)
         raise AssertionError("it waits")
 
     def test_a_reading_passed_on_leaves_under_the_lease_only_and_an_acknowledgement_always(self) -> None:
@@ -319,9 +319,9 @@
         control = Source("control")
         control.publish((1, 5), {})
         follower = Subscriber(["a"], {"control": control})
-        follower.heard_beat(SECOND, "a", SECOND, heard(6))
-        follower.heard_beat(SECOND + 1, "a", 0, heard(5))
-        return follower.fresh(SECOND + 1)
+        follower.on_heartbeat_reply(SECOND, "a", SECOND, heard(6))
+        follower.on_heartbeat_reply(SECOND + 1, "a", 0, heard(5))
+        return follower.is_fresh(SECOND + 1)
 
     def test_a_vector_told_unasked_that_waited_behind_a_cut_lowers_nothing(self) -> None:
         self.assertFalse(self.fresh_after_a_late_vector())
--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -135,19 +135,21 @@
             net, held = claim_net(random.Random())
             heard, loop = asyncio.Event(), asyncio.get_running_loop()
             asks, other = (
-                paths.Paths(loop, f"{net}{n}", "a", 17_560, lambda frame, way: heard.set(), lambda note: None)
+                paths.PeerNetwork(
+                    loop, f"{net}{n}", "a", 17_560, lambda frame, way: heard.set(), lambda note: None
+                )
                 for n in (2, 3)
             )
             try:
                 await asks.open()
                 await other.open()
-                asks.tell(other.ip, wire.Frame())
-                asks.keep(set())
+                asks.send(other.ip, wire.Frame())
+                asks.keep_peers(set())
                 await heard.wait()
-                asks.keep(set())
+                asks.keep_peers(set())
                 kept = set(asks.peers)
-                with mock.patch.object(paths, "USED_S", 0.0):
-                    asks.keep(set())
+                with mock.patch.object(paths, "KEEP_USED_S", 0.0):
+                    asks.keep_peers(set())
                 return kept == {other.ip}, set(asks.peers)
             finally:
                 await asks.close()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -16,15 +16,22 @@
 from vetchusher.directory.naming import named, serving_ingresses
 from vetchusher.directory.neighbours import Place, neighbours
 from vetchusher.directory.presence import SERVING_US, Presence
-from vetchusher.discovery.reader import Listed, Reader, read_page, read_row
+from vetchusher.discovery.reader import ListedServer, ServerListReader, read_page, read_row
 from vetchusher.distribution import source
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.snapshot import SnapshotStore, whole
-from vetchusher.distribution.source import NEVER, Source, message_of, sorted_out
-from vetchusher.distribution.subscriber import BEAT_US, FRESH_US, TOUCH_US, SendBeat, SendPull, Subscriber
-from vetchusher.kinds import Kind
+from vetchusher.distribution.snapshot import SnapshotStore, snapshot_of
+from vetchusher.distribution.source import ZERO_STAMP, Source, parse_source_update, stamp_message
+from vetchusher.distribution.subscriber import (
+    FRESH_US,
+    IN_TOUCH_US,
+    PRIMARY_HEARTBEAT_US,
+    SendHeartbeat,
+    SendPull,
+    Subscriber,
+)
+from vetchusher.errors import ErrorCode
 from vetchusher.node import reading
-from vetchusher.node.reading import read_whole
+from vetchusher.node.reading import parse_configuration
 
 S = 1_000_000
 
@@ -46,8 +53,8 @@
                     author.publish(stamp, rows)
                     written[stamp] = rows
                 reader, sender = rng.sample(sources, 2)
-                if reader is not author and (news := sender.since(reader.stamp)) is not None:
-                    reader.take(wire.SourceNews.FromString(news.SerializeToString()))
+                if reader is not author and (news := sender.update_since(reader.stamp)) is not None:
+                    reader.apply_message(wire.SourceNews.FromString(news.SerializeToString()))
                 for one in sources:
                     self.assertEqual(written[one.stamp], one.values())
 
@@ -55,12 +62,12 @@
         newer, older = Source("control"), Source("control")
         newer.publish((2, 1), {"a": b"2"})
         older.publish((1, 9), {"a": b"1"})
-        self.assertFalse(newer.take(older.since((0, 0))))
+        self.assertFalse(newer.apply_message(older.update_since((0, 0))))
         self.assertEqual({"a": b"2"}, newer.values())
 
 
 def heard(seq: int, in_force: bool, primary: str = "a") -> wire.HeartbeatReply:
-    vector = [wire.SourceAt(source="control", stamp=message_of((1, seq)))]
+    vector = [wire.SourceAt(source="control", stamp=stamp_message((1, seq)))]
     return wire.HeartbeatReply(vector=vector, members=["a", "b", "c"], primary=primary, in_force=in_force)
 
 
@@ -76,24 +83,24 @@
         #  1 s     1.6 ----------------------------->  not fresh until it has pulled
         #  after   (silent)                            not fresh
         follower, control = self.follower()
-        self.assertEqual([SendBeat("a", wants_news=True), SendBeat("b")], follower.tick(0))
-        self.assertFalse(follower.fresh(0))
-        (pull,) = follower.heard_beat(10, "a", 0, heard(5, True))
+        self.assertEqual([SendHeartbeat("a", wants_delta=True), SendHeartbeat("b")], follower.tick(0))
+        self.assertFalse(follower.is_fresh(0))
+        (pull,) = follower.on_heartbeat_reply(10, "a", 0, heard(5, True))
         self.assertIsInstance(pull, SendPull)
-        self.assertEqual([], follower.heard_beat(11, "b", 0, heard(5, True)))  # one pull at a time
+        self.assertEqual([], follower.on_heartbeat_reply(11, "b", 0, heard(5, True)))  # one pull at a time
         author = Source("control")
         author.publish((1, 5), {"version": b"1"})
-        changed, _ = follower.heard_news(pull.number, [sorted_out(author.since((0, 0)))])
+        changed, _ = follower.on_updates(pull.number, [parse_source_update(author.update_since((0, 0)))])
         self.assertEqual({"control"}, changed)
-        self.assertTrue(follower.fresh(20))
-        follower.heard_beat(S // 2, "b", S // 2, heard(3, False))
-        self.assertTrue(follower.fresh(S // 2))
-        self.assertEqual(1, len(follower.heard_beat(S, "a", S, heard(6, True))))
-        self.assertFalse(follower.fresh(S))
+        self.assertTrue(follower.is_fresh(20))
+        follower.on_heartbeat_reply(S // 2, "b", S // 2, heard(3, False))
+        self.assertTrue(follower.is_fresh(S // 2))
+        self.assertEqual(1, len(follower.on_heartbeat_reply(S, "a", S, heard(6, True))))
+        self.assertFalse(follower.is_fresh(S))
         author.publish((1, 6), {"version": b"2"})
-        control.take(author.since((1, 5)))
-        self.assertTrue(follower.fresh(S + FRESH_US))
-        self.assertFalse(follower.fresh(S + FRESH_US + 1))
+        control.apply_message(author.update_since((1, 5)))
+        self.assertTrue(follower.is_fresh(S + FRESH_US))
+        self.assertFalse(follower.is_fresh(S + FRESH_US + 1))
 
     def test_one_that_knows_a_cut_off_machine_only_asks_those_that_it_names(self):
         #  a (cut off, names x, b, c)   the ingress, whose file names a
@@ -105,49 +112,49 @@
         follower.tick(0)
         answer = heard(0, False)
         answer.members.append("x")
-        follower.heard_beat(10, "a", 0, answer)
+        follower.on_heartbeat_reply(10, "a", 0, answer)
         self.assertEqual({"b", "c", "x"}, {send.to for send in follower.tick(20)})
-        self.assertFalse(follower.fresh(20))
-        follower.heard_beat(30, "b", 20, heard(0, True))
-        self.assertTrue(follower.fresh(30))
+        self.assertFalse(follower.is_fresh(20))
+        follower.on_heartbeat_reply(30, "b", 20, heard(0, True))
+        self.assertTrue(follower.is_fresh(30))
         self.assertEqual({"a", "b", "c"}, set(follower.contacts))
-        follower.heard_beat(40, "a", 35, answer)  # it names them still, and nobody listens
+        follower.on_heartbeat_reply(40, "a", 35, answer)  # it names them still, and nobody listens
         self.assertEqual({"a", "b", "c"}, set(follower.contacts))
 
     def test_beats_go_to_seeds_and_members_and_never_two_at_a_time_to_one(self):
         follower, _ = self.follower()
         follower.tick(0)
-        follower.heard_beat(10, "a", 0, heard(0, True))
-        self.assertEqual([SendBeat("c")], follower.tick(20))  # a member that no seed named
-        self.assertEqual([SendBeat("a")], follower.tick(BEAT_US))  # b has not answered yet
-        follower.heard_beat(BEAT_US, "b", 0, None)
-        self.assertEqual([SendBeat("b")], follower.tick(BEAT_US))
+        follower.on_heartbeat_reply(10, "a", 0, heard(0, True))
+        self.assertEqual([SendHeartbeat("c")], follower.tick(20))  # a member that no seed named
+        self.assertEqual([SendHeartbeat("a")], follower.tick(PRIMARY_HEARTBEAT_US))  # b has not answered yet
+        follower.on_heartbeat_reply(PRIMARY_HEARTBEAT_US, "b", 0, None)
+        self.assertEqual([SendHeartbeat("b")], follower.tick(PRIMARY_HEARTBEAT_US))
 
     def test_the_primary_is_asked_most(self):
         follower, control = self.follower()
         control.publish((1, 0), {})
         follower.tick(0)
         for ip in "ab":
-            follower.heard_beat(0, ip, 0, heard(0, True, "c"))
+            follower.on_heartbeat_reply(0, ip, 0, heard(0, True, "c"))
         asked = dict.fromkeys("abc", 0)
         for now in range(0, 4 * S, S // 20):
             for send in follower.tick(now):
                 asked[send.to] += 1
-                follower.heard_beat(now, send.to, now, heard(0, True, "c"))
-            self.assertTrue(follower.fresh(now))
+                follower.on_heartbeat_reply(now, send.to, now, heard(0, True, "c"))
+            self.assertTrue(follower.is_fresh(now))
         self.assertEqual({"a": 3, "b": 3, "c": 8}, asked)
 
 
-def listed(instance: str, **over: object) -> Listed:
+def listed(instance: str, **over: object) -> ListedServer:
     fields = {"service": "s", "address": "10.0.0.1:80", "zone": "n-a", "version": "v1", "capacity": 3}
-    return Listed(instance, **(fields | {"draining": False, "cold_left_ms": 0} | over))
+    return ListedServer(instance, **(fields | {"draining": False, "cold_left_ms": 0} | over))
 
 
 class ReaderTest(TestCase):
     zones: ClassVar = {"n-a": "n", "g-a": "g"}
 
     def test_one_cold_owner_each_of_its_region_who_stays_until_it_is_gone(self):
-        reader = Reader(self.zones, {})
+        reader = ServerListReader(self.zones, {})
         nodes = [("e1", "n"), ("e2", "n"), ("e3", "g")]
         entries = [listed(f"i-{n}", cold_left_ms=900) for n in range(40)]
         first = {k: read_row(k, v, 0).unwrap().cold_owner for k, v in reader.read(entries, nodes).items()}
@@ -155,14 +162,14 @@
         again = reader.read(entries, [*nodes, ("e4", "n")])
         self.assertEqual(first, {k: read_row(k, v, 0).unwrap().cold_owner for k, v in again.items()})
         # Another reader goes on with the rows, and cold_owners named anew wait out the one before.
-        after = Reader(self.zones, again).read(entries, nodes[1:])
+        after = ServerListReader(self.zones, again).read(entries, nodes[1:])
         for instance, value in after.items():
             server = read_row(instance, value, 5 * S).unwrap()
             self.assertEqual("e2", server.cold_owner)
             self.assertEqual(8 * S if first[instance] == "e1" else 5 * S, server.owned_from)
 
     def test_what_two_whole_reads_lack_is_gone_and_a_coldness_that_runs_down_changes_no_row(self):
-        reader = Reader(self.zones, {})
+        reader = ServerListReader(self.zones, {})
         rows = reader.read([listed("i-1", cold_left_ms=900), listed("i-2")], [])
         self.assertEqual(rows, reader.read([listed("i-1", cold_left_ms=300)], []))
         later = reader.read([listed("i-1")], [])
@@ -185,13 +192,13 @@
         places = {"e1": ("n", "n-a"), "e2": ("n", "n-b"), "e3": ("g", "g-a"), "e4": ("g", "g-b")}
         for node, (region, zone) in places.items():
             heartbeat = wire.Heartbeat(node=node, region=region, zone=zone, front=node, standing=wire.READY)
-            presence.heard(0, heartbeat)
-        self.assertEqual(["e2", "e1"], presence.name(S, "n", "n-b"))
-        presence.heard(
+            presence.on_heartbeat(0, heartbeat)
+        self.assertEqual(["e2", "e1"], presence.resolve(S, "n", "n-b"))
+        presence.on_heartbeat(
             S, wire.Heartbeat(node="e1", region="n", zone="n-a", front="e1", standing=wire.LEAVING)
         )
-        self.assertEqual(["e2", "e3", "e4"], presence.name(S, "n", "n-b"))
-        self.assertEqual([], presence.name(SERVING_US + 1, "n", "n-b"))
+        self.assertEqual(["e2", "e3", "e4"], presence.resolve(S, "n", "n-b"))
+        self.assertEqual([], presence.resolve(SERVING_US + 1, "n", "n-b"))
         self.assertEqual(4, len(presence.may_serve()))  # cut off from here they may still have clients
 
     def test_every_ingress_names_whom_the_core_would_name(self):
@@ -205,7 +212,7 @@
             heartbeat = wire.Heartbeat(
                 node=node, region="n", zone="n-a", front=f"{node}:1", standing=wire.READY
             )
-            presence.heard(0, heartbeat)
+            presence.on_heartbeat(0, heartbeat)
 
         def at_an_ingress(now, seq):
             told.publish((1, seq), presence.rows(now))
@@ -216,7 +223,7 @@
             heartbeat = wire.Heartbeat(
                 node=node, region="n", zone="n-a", front=f"{node}:1", standing=standing
             )
-            presence.heard(2 * S, heartbeat)
+            presence.on_heartbeat(2 * S, heartbeat)
         self.assertEqual(["e2:1", "e3:1"], at_an_ingress(2 * S, 2))
         self.assertEqual(["e2:1"], at_an_ingress(SERVING_US + 1, 3))
         self.assertEqual(3, len(told.rows))  # they still count among those that may have clients
@@ -225,10 +232,10 @@
 
     def test_one_that_no_core_machine_answers_does_not_say_who_serves(self):
         follower = Subscriber(["a"], {"control": Source("control")})
-        self.assertFalse(follower.in_touch(0))
-        follower.heard_beat(0, "a", 0, heard(1, False))
-        self.assertTrue(follower.in_touch(TOUCH_US))
-        self.assertFalse(follower.in_touch(TOUCH_US + 1))
+        self.assertFalse(follower.is_in_touch(0))
+        follower.on_heartbeat_reply(0, "a", 0, heard(1, False))
+        self.assertTrue(follower.is_in_touch(IN_TOUCH_US))
+        self.assertFalse(follower.is_in_touch(IN_TOUCH_US + 1))
 
 
 class Shelves(TestCase):
@@ -238,7 +245,7 @@
         author = Source("control")
         author.publish((3, 7), {"version": b'"r4"', "limits": b"{}"})
         snapshots = SnapshotStore.open(folder).unwrap()
-        snapshots.save(whole(author)).unwrap()
+        snapshots.save(snapshot_of(author)).unwrap()
         snapshots.close()
         again = Source("control")
         opened = SnapshotStore.open(folder).unwrap()
@@ -251,10 +258,10 @@
             "UPDATE row SET value = X'00' WHERE key = 'version'",
             "DELETE FROM row WHERE key = 'limits'",
         ):
-            opened.base.execute(change)
-            opened.base.commit()
+            opened.connection.execute(change)
+            opened.connection.commit()
             self.assertEqual([], opened.load({"control": Source("control")}).unwrap())
-            opened.save(whole(author)).unwrap()
+            opened.save(snapshot_of(author)).unwrap()
             self.assertEqual(["control"], opened.load({"control": Source("control")}).unwrap())
         opened.close()
         pathlib.Path(folder, "told.sqlite3").write_bytes(b"torn" * 4096)
@@ -273,7 +280,7 @@
         authors = {name: Source(name) for name in ("comb", "discovery", "entrance")}
         for name, author in authors.items():
             author.publish((3, 7), {"version": b'"r4"', "of": name.encode()})
-            raw = whole(author).SerializeToString()
+            raw = snapshot_of(author).SerializeToString()
             torn = name == "entrance"
             base.execute("INSERT INTO told VALUES (?, ?, ?)", (name, zlib.crc32(raw) + torn, raw))
         base.commit()
@@ -299,17 +306,17 @@
                 del rows[key]
             author.publish((1, seq), rows)
             if rng.random() < 0.7:  # some changes go together
-                held = store.saved.get("control")
-                store.save(author.since(held.stamp if held else NEVER)).unwrap()
+                held = store.stored.get("control")
+                store.save(author.update_since(held.stamp if held else ZERO_STAMP)).unwrap()
             if rng.random() < 0.1:
                 store.close()
                 store = SnapshotStore.open(folder).unwrap()
         author.publish((1, 200), rows | {"route/last": b""})
-        store.save(author.since(store.saved["control"].stamp)).unwrap()
+        store.save(author.update_since(store.stored["control"].stamp)).unwrap()
         again = Source("control")
         store.load({"control": again}).unwrap()
         self.assertEqual((author.stamp, author.values()), (again.stamp, again.values()))
-        left_out = author.since((*author.stamp[:1], author.stamp[1] - 1))
+        left_out = author.update_since((*author.stamp[:1], author.stamp[1] - 1))
         left_out.base.seq += 5
         self.assertIn("leave something out", store.save(left_out).failure().text)
 
@@ -319,18 +326,18 @@
         store, author = SnapshotStore.open(folder, disk_mb=16).unwrap(), Source("control")
         rows = {f"route/{n}": b"x" * 200 for n in range(4000)}
         author.publish((1, 1), rows)
-        store.save(whole(author)).unwrap()
+        store.save(snapshot_of(author)).unwrap()
         for seq in range(2, 300):
             rows[f"route/{seq}"] = b"y%d" % seq * 40
             author.publish((1, seq), rows)
-            store.save(author.since((1, seq - 1))).unwrap()
+            store.save(author.update_since((1, seq - 1))).unwrap()
         sizes = {p.name: p.stat().st_size for p in pathlib.Path(folder).iterdir()}
         self.assertLess(sum(sizes.values()), 4_500_000, sizes)  # 0.8 MB of rows, a log of 2 MB
         much = Source("control")
         much.publish((1, 300), {f"route/{n}": b"z" * 1000 for n in range(4000)})
-        self.assertIn("full", store.save(whole(much)).failure().text)
+        self.assertIn("full", store.save(snapshot_of(much)).failure().text)
         author.publish((1, 300), rows | {"route/0": b"after"})
-        store.save(author.since((1, 299))).unwrap()
+        store.save(author.update_since((1, 299))).unwrap()
         store.close()
         again = Source("control")
         SnapshotStore.open(folder, disk_mb=16).unwrap().load({"control": again}).unwrap()
@@ -341,9 +348,9 @@
         self.addCleanup(shutil.rmtree, folder)
         store, author = SnapshotStore.open(folder).unwrap(), Source("control")
         author.publish((1, 1), {f"route/{n}": b"x" * 1000 for n in range(4000)})
-        store.save(whole(author)).unwrap()
+        store.save(snapshot_of(author)).unwrap()
         author.publish((1, 2), {"route/1": b"x"})
-        store.save(author.since((1, 1))).unwrap()
+        store.save(author.update_since((1, 1))).unwrap()
         store.close()
         self.assertLess(pathlib.Path(folder, "told.sqlite3").stat().st_size, 500_000)
 
@@ -353,25 +360,25 @@
         """It would be acknowledged and never be in force."""
         services = [{"name": f"s{number}"} for number in range(300)]
         body = orjson.dumps({"version": "r1", "routes": [], "services": services})
-        read = read_whole(body).unwrap()
-        self.assertEqual(MAX_ZONES, reading.EVACUATION_ROWS)
-        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MAX_ZONES):
-            read_whole(body).unwrap()
-        with mock.patch.object(reading, "MOST_ROWS", len(read.rows) + MAX_ZONES - 1):
-            self.assertEqual(Kind.INVALID, read_whole(body).failure().kind)
+        read = parse_configuration(body).unwrap()
+        self.assertEqual(MAX_ZONES, reading.MAX_EVACUATION_ROWS)
+        with mock.patch.object(reading, "MAX_ROWS", len(read.rows) + MAX_ZONES):
+            parse_configuration(body).unwrap()
+        with mock.patch.object(reading, "MAX_ROWS", len(read.rows) + MAX_ZONES - 1):
+            self.assertEqual(ErrorCode.INVALID_ORDER, parse_configuration(body).failure().code)
 
     def test_deltas_fill_a_source_no_further_than_a_whole_may(self):
         author, reader = Source("control"), Source("control")
         rows = {f"route/{number}": b"x" for number in range(8)}
-        with mock.patch.object(source, "MOST_ROWS", 10):
+        with mock.patch.object(source, "MAX_ROWS", 10):
             author.publish((1, 1), rows)
-            self.assertTrue(reader.take(whole(author)))
+            self.assertTrue(reader.apply_message(snapshot_of(author)))
             author.publish((1, 2), rows | {"a": b"", "b": b""})
-            self.assertTrue(reader.take(author.since((1, 1))))
+            self.assertTrue(reader.apply_message(author.update_since((1, 1))))
             author.publish((1, 3), rows | {"b": b"", "c": b""})  # one gone, one more
-            self.assertTrue(reader.take(author.since((1, 2))))
+            self.assertTrue(reader.apply_message(author.update_since((1, 2))))
             author.publish((1, 4), rows | {"b": b"", "c": b"", "d": b""})
-            self.assertFalse(reader.take(author.since((1, 3))))
+            self.assertFalse(reader.apply_message(author.update_since((1, 3))))
             self.assertEqual(((1, 3), 10), (reader.stamp, len(reader.rows)))
 
 
@@ -392,13 +399,13 @@
         #  |                                     has the news, and does not vouch for them
         control = Source("control")
         follower = Subscriber(["a"], {"control": control})
-        follower.watch(["n"])
-        self.assertIn(SendBeat("n"), follower.tick(0))
-        (pull,) = follower.heard_beat(10, "n", 0, heard(6, True))
+        follower.set_neighbours(["n"])
+        self.assertIn(SendHeartbeat("n"), follower.tick(0))
+        (pull,) = follower.on_heartbeat_reply(10, "n", 0, heard(6, True))
         self.assertEqual("n", pull.to)
         author = Source("control")
         author.publish((1, 6), {"version": b"1"})
-        follower.heard_news(pull.number, [sorted_out(author.since((0, 0)))])
+        follower.on_updates(pull.number, [parse_source_update(author.update_since((0, 0)))])
         self.assertEqual((1, 6), control.stamp)
-        self.assertFalse(follower.fresh(20))
+        self.assertFalse(follower.is_fresh(20))
         self.assertEqual((), follower.members)
--- a/tests/test_local_system.py
+++ b/tests/test_local_system.py
@@ -16,11 +16,11 @@
 from testtools import TestCase
 from testtools.matchers import AfterPreprocessing, AllMatch, Equals, Is
 
-from vetchusher.discovery.reader import Listed
+from vetchusher.discovery.reader import ListedServer
 from vetchusher.emulator.outside.platform import PlatformStandIn
 from vetchusher.emulator.system.local import FRONT, LocalSystem, first_configuration
 from vetchusher.events import Event
-from vetchusher.node.platform import Platform
+from vetchusher.node.platform import ServerListClient
 from vetchusher.settings.node import Bounds, CloudApi
 
 
@@ -120,10 +120,10 @@
             await self.holds(system, second_configuration(), "/late/b")
 
             async def remembered():
-                return f" {Event.RECOVERED:d} " in wiped.log
+                return f" {Event.RECOVERY_FINISHED:d} " in wiped.log
 
             await system.until(remembered, "the wiped one remembers")
-            self.assertIn(f" {Event.AMNESIAC:d} ", wiped.log)
+            self.assertIn(f" {Event.RECOVERY_STARTED:d} ", wiped.log)
             self.assertThat(
                 evacuated, AllMatch(AfterPreprocessing(lambda server: server.arrivals, Equals([])))
             )
@@ -165,13 +165,15 @@
         now = 100.0
 
         def entry(number):
-            return Listed(f"i-{number}", "images", f"127.0.0.1:{number}", "gulf-a", "v1", 3, False, 2000)
+            return ListedServer(
+                f"i-{number}", "images", f"127.0.0.1:{number}", "gulf-a", "v1", 3, False, 2000
+            )
 
         async def script():
             nonlocal now
             stand_in = PlatformStandIn(rate_per_s=3, lag_s=1.0, page=2, now=lambda: now)
             await stand_in.open()
-            platform = Platform(CloudApi((stand_in.host, stand_in.port)))
+            platform = ServerListClient(CloudApi((stand_in.host, stand_in.port)))
             try:
                 stand_in.show([entry(n) for n in range(1, 6)])
                 now += 0.9
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -10,7 +10,7 @@
 
 from vetchusher import control
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.kinds import STATUS, Fault, Kind
+from vetchusher.errors import HTTP_STATUS, Error, ErrorCode
 from vetchusher.node import control_node, operator_api
 
 
@@ -29,11 +29,13 @@
             return self.outcome
         return Success(
             {
-                operator_api.ReplaceConfiguration: lambda: operator_api.Replaced(),
-                operator_api.RetrieveConfiguration: lambda: operator_api.Retrieved(b'{"version": "r1"}'),
+                operator_api.ReplaceConfiguration: lambda: operator_api.ConfigurationReplaced(),
+                operator_api.RetrieveConfiguration: lambda: operator_api.ConfigurationRetrieved(
+                    b'{"version": "r1"}'
+                ),
                 operator_api.InitiateEvacuation: lambda: operator_api.EvacuationSet(call.zone, True),
                 operator_api.TerminateEvacuation: lambda: operator_api.EvacuationSet(call.zone, False),
-                operator_api.AskResolution: lambda: operator_api.Resolved(("10.0.0.1:80",), 2.0),
+                operator_api.ResolveAddresses: lambda: operator_api.AddressesResolved(("10.0.0.1:80",), 2.0),
             }[type(call)]()
         )
 
@@ -53,7 +55,7 @@
 
 
 class DoorsTest(testtools.TestCase):
-    def talk(self, settler, script, kind=operator_api.ControlDoor, **bounds):
+    def talk(self, settler, script, kind=operator_api.ControlApi, **bounds):
         """Run the script with a door open: it gets a way to connect, and the door."""
 
         async def run():
@@ -116,51 +118,50 @@
             message("GET /resolution?name=a.example&region=n&zone=n-1"),
             message("GET /resolution?zone=%zz"),
         )
-        (_, _, body), (status, _, _) = self.ask(settler, *raws, kind=operator_api.DirectoryDoor)
+        (_, _, body), (status, _, _) = self.ask(settler, *raws, kind=operator_api.DirectoryApi)
         self.assertThat(json.loads(body), Equals({"addresses": ["10.0.0.1:80"], "ttl_s": 2.0}))
         self.assertThat(
-            (status, settler.calls[0]), Equals((200, operator_api.AskResolution("a.example", "n", "n-1")))
+            (status, settler.calls[0]), Equals((200, operator_api.ResolveAddresses("a.example", "n", "n-1")))
         )
 
     def test_faults_are_answered_by_their_kind(self):
         for fault in (
-            Fault(Kind.INVALID, "configuration.version: no"),
-            Fault(Kind.NOT_FOUND, "none yet"),
-            Fault(Kind.CONFLICT, "r5 is taken by another body"),
-            Fault(Kind.NOT_SETTLED, "no primary", 250_000),
-            Fault(Kind.NOT_SETTLED, "no majority settled it in time"),
+            Error(ErrorCode.INVALID_ORDER, "configuration.version: no"),
+            Error(ErrorCode.NOT_FOUND, "none yet"),
+            Error(ErrorCode.VERSION_CONFLICT, "r5 is taken by another body"),
+            Error(ErrorCode.UNAVAILABLE, "no primary", 250_000),
+            Error(ErrorCode.UNAVAILABLE, "no majority settled it in time"),
         ):
             ((status, headers, body),) = self.ask(
                 Settler(Failure(fault)), message("GET /configuration/retrieve")
             )
-            self.assertThat(status, Equals(STATUS[fault.kind]))
-            self.assertThat(json.loads(body), Equals({"error": fault.kind, "text": fault.text}))
-            back = {Kind.NOT_SETTLED: f"{(fault.retry_after_us or operator_api.BACK_US) / 1e6:.3f}"}.get(
-                fault.kind
-            )
+            self.assertThat(status, Equals(HTTP_STATUS[fault.code]))
+            self.assertThat(json.loads(body), Equals({"error": fault.code, "text": fault.text}))
+            retry_after_us = fault.retry_after_us or operator_api.DEFAULT_RETRY_AFTER_US
+            back = f"{retry_after_us / 1e6:.3f}" if fault.code is ErrorCode.UNAVAILABLE else None
             self.assertThat(headers.get("retry-after"), Equals(back))
 
     def test_what_may_be_overtaken_leaves_only_while_its_backing_lasts(self):
         """Asked as the bytes leave: a reading, a refusal for good; of what is unsettled there is nothing to
         ask."""
-        reading = Success(operator_api.Retrieved(b"{}"))
-        unknown = Failure(Fault(Kind.NOT_FOUND, "no zone"))
-        unsettled = Failure(Fault(Kind.NOT_SETTLED, "no primary", 250_000))
+        reading = Success(operator_api.ConfigurationRetrieved(b"{}"))
+        unknown = Failure(Error(ErrorCode.NOT_FOUND, "no zone"))
+        unsettled = Failure(Error(ErrorCode.UNAVAILABLE, "no primary", 250_000))
         for outcome, lasts, status, text in (
             (reading, True, 200, None),
-            (reading, False, 503, operator_api.OVERTAKEN.text),
+            (reading, False, 503, operator_api.STALE_OUTCOME.text),
             (unknown, True, 404, "no zone"),
-            (unknown, False, 503, operator_api.OVERTAKEN.text),
+            (unknown, False, 503, operator_api.STALE_OUTCOME.text),
             (unsettled, False, 503, "no primary"),
         ):
-            settler = Settler(operator_api.Backed(outcome, lambda lasts=lasts: lasts))
+            settler = Settler(operator_api.GuardedOutcome(outcome, lambda lasts=lasts: lasts))
             ((got, headers, body),) = self.ask(settler, message("GET /configuration/retrieve"))
             self.assertThat((got, json.loads(body).get("text")), Equals((status, text)))
             self.assertThat("retry-after" in headers, Equals(status == 503))
 
     def test_a_long_reading_breaks_off_where_its_backing_ends(self):
-        body, looks = b"x" * (operator_api.PIECE * 4), iter([True, True, False])
-        whole = operator_api.Backed(Success(operator_api.Retrieved(body)), lambda: True)
+        body, looks = b"x" * (operator_api.WRITE_CHUNK_BYTES * 4), iter([True, True, False])
+        whole = operator_api.GuardedOutcome(Success(operator_api.ConfigurationRetrieved(body)), lambda: True)
         ((status, _, got),) = self.ask(Settler(whole), message("GET /configuration/retrieve"))
         self.assertThat((status, got), Equals((200, body)))
 
@@ -169,28 +170,30 @@
             writer.write(message("GET /configuration/retrieve"))
             return await reader.read(-1)
 
-        ends = operator_api.Backed(Success(operator_api.Retrieved(body)), lambda: next(looks))
+        ends = operator_api.GuardedOutcome(
+            Success(operator_api.ConfigurationRetrieved(body)), lambda: next(looks)
+        )
         with testtools.ExpectedException(ConnectionError):
             got = self.talk(Settler(ends), script)
             raise ConnectionError(f"{len(got)} of {len(body)}") if len(got) < len(body) else AssertionError
 
     def test_what_the_primary_said_comes_through(self):
         """Kinds of errors survive the way between two core machines; an unknown one is no refusal."""
-        for kind in (Kind.CONFLICT, Kind.INVALID, Kind.NOT_FOUND):
+        for kind in (ErrorCode.VERSION_CONFLICT, ErrorCode.INVALID_ORDER, ErrorCode.NOT_FOUND):
             said = control_node.passed_on(wire.OrderDone(kind=kind.value, text="why"))
-            self.assertThat(said, Equals(Fault(kind, "why")))
-        for name in (Kind.NOT_SETTLED.value, "of a later release"):
+            self.assertThat(said, Equals(Error(kind, "why")))
+        for name in (ErrorCode.UNAVAILABLE.value, "of a later release"):
             said = control_node.passed_on(wire.OrderDone(kind=name, text="why"))
             self.assertThat((said.status, said.retry_after_us > 0), Equals((503, True)))
 
     def test_an_evacuation_that_may_have_waited_is_not_taken(self):
         async def decide_here(order):
-            return operator_api.Backed(Success(order), lambda: True)
+            return operator_api.GuardedOutcome(Success(order), lambda: True)
 
         orders = (control.EvacuationOrder("a", True), control.ReplaceOrder(1, b""), control.RetrieveOrder())
         for stood_still in (False, True):
             node = mock.Mock(decide_here=decide_here)
-            node.member.was_paused.return_value = stood_still
+            node.replica.was_paused.return_value = stood_still
             taken = [
                 isinstance(asyncio.run(control_node.ControlNode.decide(node, order, None)).outcome, Success)
                 for order in orders
@@ -218,13 +221,13 @@
             (400, message("GET /configuration/replace", b"", chunked).replace(b"GET", b"POST") + b"no\r\n"),
             (400, b"no http\r\n\r\n"),
         )
-        answers = self.ask(settler, *(raw for _, raw in cases), most_body=100)
+        answers = self.ask(settler, *(raw for _, raw in cases), max_body_bytes=100)
         self.assertThat([status for status, _, _ in answers], Equals([status for status, _ in cases]))
         self.assertThat((settler.calls, answers[4][1]["allow"]), Equals(([], "POST")))
 
     def test_bodies_together_are_bounded_and_each_is_given_back(self):
         async def script(connect, door):
-            settler = door.settle
+            settler = door.execute
             settler.outcome = asyncio.get_running_loop().create_future()
             first, writer = await connect()
             writer.write(message("POST /configuration/replace", b"x" * 80))
@@ -233,42 +236,44 @@
             second, writer = await connect()
             writer.write(message("POST /configuration/replace", b"x" * 30))
             refused = await read_answer(second)
-            held = door.held
-            settler.outcome.set_result(Success(operator_api.Replaced()))
-            return refused[0], held, (await read_answer(first))[0], door.held
+            held = door.buffered_bytes
+            settler.outcome.set_result(Success(operator_api.ConfigurationReplaced()))
+            return refused[0], held, (await read_answer(first))[0], door.buffered_bytes
 
-        self.assertThat(self.talk(Settler(), script, most_body=100), Equals((503, 80, 200, 0)))
+        self.assertThat(self.talk(Settler(), script, max_body_bytes=100), Equals((503, 80, 200, 0)))
 
     def test_who_sends_slowly_or_is_never_settled_does_not_stay(self):
         async def script(connect, door):
             slow, writer = await connect()
             writer.write(message("POST /configuration/replace", b"xx")[:-1])
             status = (await read_answer(slow))[0]
-            door.settle.outcome = asyncio.get_running_loop().create_future()
+            door.execute.outcome = asyncio.get_running_loop().create_future()
             unsettled, writer = await connect()
             writer.write(message("GET /configuration/retrieve"))
-            return status, (await read_answer(unsettled))[0], door.held
+            return status, (await read_answer(unsettled))[0], door.buffered_bytes
 
         told = []
-        self.assertLess(operator_api.ANSWER_S, 1.0)  # then callers hear of it before they go
+        self.assertLess(operator_api.CALLER_TIMEOUT_S, 1.0)  # then callers hear of it before they go
         with (
-            mock.patch.object(operator_api, "READ_S", 0.05),
-            mock.patch.object(operator_api, "ANSWER_S", 0.05),
+            mock.patch.object(operator_api, "READ_TIMEOUT_S", 0.05),
+            mock.patch.object(operator_api, "CALLER_TIMEOUT_S", 0.05),
         ):
-            answers = self.talk(Settler(), script, refused=lambda *refused: told.append(refused))
+            answers = self.talk(Settler(), script, on_rejected=lambda *rejected: told.append(rejected))
         self.assertThat(answers, Equals((408, 503, 0)))
         ((call, fault),) = told
-        self.assertThat((call, fault.kind), Equals((operator_api.RetrieveConfiguration(), Kind.NOT_SETTLED)))
+        self.assertThat(
+            (call, fault.code), Equals((operator_api.RetrieveConfiguration(), ErrorCode.UNAVAILABLE))
+        )
 
     def test_a_chunk_that_cannot_be_read_is_answered_at_once(self):
         async def script(connect, door):
             reader, writer = await connect()
             head = message("GET /configuration/replace", b"", "Transfer-Encoding: chunked")
             writer.write(head.replace(b"GET", b"POST") + b"2\r\nxx\r\n")
-            while not door.held:
+            while not door.buffered_bytes:
                 await asyncio.sleep(0.001)
             writer.write(b"no\r\n")
-            return (await read_answer(reader))[0], door.settle.calls, door.held
+            return (await read_answer(reader))[0], door.execute.calls, door.buffered_bytes
 
         self.assertThat(self.talk(Settler(), script), Equals((400, [], 0)))
 
@@ -276,24 +281,24 @@
         async def script(connect, door):
             _, writer = await connect()
             writer.write(message("GET /configuration/retrieve"))
-            while not door.settle.calls or door.door.links:
+            while not door.execute.calls or door.listener.links:
                 await asyncio.sleep(0.005)
             return True
 
-        long = Success(operator_api.Retrieved(b"x" * (32 << 20)))
-        with mock.patch.object(operator_api, "READ_S", 0.05):
+        long = Success(operator_api.ConfigurationRetrieved(b"x" * (32 << 20)))
+        with mock.patch.object(operator_api, "READ_TIMEOUT_S", 0.05):
             self.assertTrue(self.talk(Settler(long), script))
 
     def test_a_call_under_way_is_answered_while_the_door_closes(self):
         async def script(connect, door):
-            door.settle.outcome = asyncio.get_running_loop().create_future()
+            door.execute.outcome = asyncio.get_running_loop().create_future()
             reader, writer = await connect()
             writer.write(message("POST /evacuation/a/initiate"))
-            while not door.settle.calls:
+            while not door.execute.calls:
                 await asyncio.sleep(0.001)
             closing = asyncio.ensure_future(door.close())
             await asyncio.sleep(0)
-            door.settle.outcome.set_result(Success(operator_api.EvacuationSet("a", True)))
+            door.execute.outcome.set_result(Success(operator_api.EvacuationSet("a", True)))
             status, headers, _ = await read_answer(reader)
             await closing
             return status, headers["connection"]
@@ -307,12 +312,12 @@
 
         async def script(connect, door):
             async def settle(call):
-                (link,) = door.door.links
+                (link,) = door.listener.links
                 link.wire.abort()
                 left.append(call)
                 return Success(operator_api.EvacuationSet("a", True))
 
-            door.settle = settle
+            door.execute = settle
             reader, writer = await connect()
             writer.write(message("POST /evacuation/a/initiate"))
             return await reader.read()
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -25,8 +25,8 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import Source
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event
-from vetchusher.kinds import Fault, Kind
 from vetchusher.node import operator_api
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -162,20 +162,20 @@
 
     def answers(self) -> dict[str, web.Response]:
         answers = {}
-        for kind in Kind:
-            answers[f"failure.{kind.value}"] = operator_api.written(Failure(Fault(kind, "a line")))
-            late = Fault(kind, "a line", 1_250_000)
-            answers[f"failure.{kind.value}.retry"] = operator_api.written(Failure(late))
+        for kind in ErrorCode:
+            answers[f"failure.{kind.value}"] = operator_api.response_of(Failure(Error(kind, "a line")))
+            late = Error(kind, "a line", 1_250_000)
+            answers[f"failure.{kind.value}.retry"] = operator_api.response_of(Failure(late))
         results = {
-            "replaced": operator_api.Replaced(),
-            "retrieved": operator_api.Retrieved(b'{"version": "r1"}'),
+            "replaced": operator_api.ConfigurationReplaced(),
+            "retrieved": operator_api.ConfigurationRetrieved(b'{"version": "r1"}'),
             "evacuation_set": operator_api.EvacuationSet("gulf-a", True),
-            "resolved": operator_api.Resolved(("127.0.0.1:80", "127.0.0.2:80"), 2.0),
+            "resolved": operator_api.AddressesResolved(("127.0.0.1:80", "127.0.0.2:80"), 2.0),
         }
-        answers |= {name: operator_api.written(Success(result)) for name, result in results.items()}
-        answers["refused.405"] = operator_api.refused(405, "not by PUT", {"POST", "GET"})
-        answers["refused.404"] = operator_api.refused(404, "nothing is called this")
-        return answers | {"busy": operator_api.busy(), "overtaken": operator_api.overtaken()}
+        answers |= {name: operator_api.response_of(Success(result)) for name, result in results.items()}
+        answers["refused.405"] = operator_api.rejection(405, "not by PUT", {"POST", "GET"})
+        answers["refused.404"] = operator_api.rejection(404, "nothing is called this")
+        return answers | {"busy": operator_api.busy_response(), "overtaken": operator_api.stale_response()}
 
     def test_answers_are_those_recorded(self) -> None:
         self.assertEqual(
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -254,7 +254,7 @@
 
     def test_a_spoilt_row_is_noted_written_again_and_never_told(self) -> None:
         copies = self.play("the primary's rots")
-        self.assertEqual([("1", "ROWS_SPOILT"), ("1", "ROWS_MENDED")], copies.notes)
+        self.assertEqual([("1", "ROWS_DAMAGED"), ("1", "ROWS_REWRITTEN")], copies.notes)
         self.assertEqual(0, copies.messages["rows_told"])
 
     def test_only_the_leaves_that_differ_are_told_and_a_calm_minute_costs_little(self) -> None:
@@ -369,7 +369,7 @@
                     now += 50_000
                     feed(Tick())
                     mending.tick()
-                    while saving.writing or mending.task:
+                    while saving.write_task or mending.task:
                         await asyncio.sleep(0)
                 self.fail(f"not in {now / 1e6} s")
 
@@ -378,7 +378,7 @@
             await until(lambda: member.committed.version == 1)
             assert self.store.connection is not None
             self.store.connection.execute("UPDATE chunk SET value = x'00'")
-            noted = ["ROWS_SPOILT", "ROWS_MENDED"]
+            noted = ["ROWS_DAMAGED", "ROWS_REWRITTEN"]
             await until(lambda: [n.event.name for n in messages if isinstance(n, LogEvent)] == noted)
             mending.close()
             saving.close()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from vetchusher.discovery.server import Server
-from vetchusher.kinds import Kind
+from vetchusher.errors import ErrorCode
 from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge, subsets
 from vetchusher.routing.claims import CLAIM, Claim, seen_of, what_next
 from vetchusher.routing.headers import passed_on
@@ -83,14 +83,14 @@
 
 def kinds(acts):
     """The acts in short: who it is sent to, or how it ends."""
-    shown = {Send: lambda a: a.server.instance, Refuse: lambda a: a.fault.kind, Answer: lambda a: "answer"}
+    shown = {Send: lambda a: a.server.instance, Refuse: lambda a: a.fault.code, Answer: lambda a: "answer"}
     shown |= {Cancel: lambda a: f"cancel {a.number}", WakeAt: lambda a: "wake"}
     return [shown[type(act)](act) for act in acts]
 
 
 class Claims(TestCase):
     def test_what_was_seen_and_what_may_follow(self):
-        refuse, fail, answer = Kind.NEVER_RAN, Kind.MAY_HAVE_RUN, None
+        refuse, fail, answer = ErrorCode.NOT_EXECUTED, ErrorCode.MAYBE_EXECUTED, None
         table = {  # seen: (again, otherwise) for what is repeatable, for what is not
             Seen.NO_CONNECTION: ((True, refuse), (True, refuse)),
             Seen.NOT_WRITTEN: ((True, refuse), (True, refuse)),
@@ -184,19 +184,19 @@
         for target, names, extra, story in (
             ("/safe/1", "ab", 9, [(Seen.ANSWERED, "answer")]),
             ("/safe/1", "ab", 9, [(reset, "again"), (Seen.ANSWERED, "answer")]),
-            ("/safe/1", "abc", 9, [(reset, "again"), (full, Kind.MAY_HAVE_RUN)]),
-            ("/safe/1", "abc", 9, [(full, "again"), (full, Kind.NEVER_RAN)]),
-            ("/safe/1", "a", 9, [(reset, Kind.MAY_HAVE_RUN)]),
-            ("/safe/1", "ab", 0, [(reset, Kind.MAY_HAVE_RUN)]),
+            ("/safe/1", "abc", 9, [(reset, "again"), (full, ErrorCode.MAYBE_EXECUTED)]),
+            ("/safe/1", "abc", 9, [(full, "again"), (full, ErrorCode.NOT_EXECUTED)]),
+            ("/safe/1", "a", 9, [(reset, ErrorCode.MAYBE_EXECUTED)]),
+            ("/safe/1", "ab", 0, [(reset, ErrorCode.MAYBE_EXECUTED)]),
             ("/safe/1", "ab", 0, [(Seen.SERVER_ERROR, "answer")]),
             ("/safe/1", "ab", 9, [(Seen.SERVER_ERROR, "again"), (reset, "answer")]),
-            ("/once/1", "ab", 9, [(reset, Kind.MAY_HAVE_RUN)]),
+            ("/once/1", "ab", 9, [(reset, ErrorCode.MAYBE_EXECUTED)]),
             ("/once/1", "ab", 9, [(Seen.SERVER_ERROR, "answer")]),
-            ("/once/1", "ab", 9, [(full, "again"), (reset, Kind.MAY_HAVE_RUN)]),
-            ("/once/1", "ab", 0, [(full, Kind.NEVER_RAN)]),
+            ("/once/1", "ab", 9, [(full, "again"), (reset, ErrorCode.MAYBE_EXECUTED)]),
+            ("/once/1", "ab", 0, [(full, ErrorCode.NOT_EXECUTED)]),
             # what never reached a server is no extra try, yet there is an end of it
-            ("/once/1", "abcd", 0, [(refused, "again"), (refused, "again"), (full, Kind.NEVER_RAN)]),
-            ("/safe/1", "abcdef", 9, [(refused, "again")] * 3 + [(refused, Kind.NEVER_RAN)]),
+            ("/once/1", "abcd", 0, [(refused, "again"), (refused, "again"), (full, ErrorCode.NOT_EXECUTED)]),
+            ("/safe/1", "abcdef", 9, [(refused, "again")] * 3 + [(refused, ErrorCode.NOT_EXECUTED)]),
         ):
             scene = Scene(*map(server, names), purse=Purse(extra=extra))
             request = scene.request(target)
@@ -241,22 +241,24 @@
         scene = Scene(server("a"), conf=conf, purse=Purse(quota=0))
         key = {"Authorization": "bearer  k-1"}
         for target, headers, kind in (
-            ("/none/1", key, Kind.NO_ROUTE),
-            ("/safe/1", {}, Kind.NO_KEY),
-            ("/safe/1", {"Authorization": "Bearer k-2"}, Kind.NO_KEY),
-            ("/safe/1", {**key, "X-Vetchusher-Attempt-Id": ""}, Kind.UNREADABLE),
-            ("*", key, Kind.UNREADABLE),
+            ("/none/1", key, ErrorCode.ROUTE_NOT_FOUND),
+            ("/safe/1", {}, ErrorCode.UNAUTHENTICATED),
+            ("/safe/1", {"Authorization": "Bearer k-2"}, ErrorCode.UNAUTHENTICATED),
+            ("/safe/1", {**key, "X-Vetchusher-Attempt-Id": ""}, ErrorCode.MALFORMED_REQUEST),
+            ("*", key, ErrorCode.MALFORMED_REQUEST),
         ):
             judged = scene.judge(target, **headers)
-            self.assertEqual(kind, judged.failure().kind if isinstance(judged, Failure) else judged)
+            self.assertEqual(kind, judged.failure().code if isinstance(judged, Failure) else judged)
         self.assertEqual(["a", "wake"], kinds(scene.request("/open/1").start(0)))
-        self.assertEqual([Kind.NO_SERVER], kinds(scene.request(**key).start(0)))  # its homes have none
+        self.assertEqual(
+            [ErrorCode.NO_SERVER_AVAILABLE], kinds(scene.request(**key).start(0))
+        )  # its homes have none
         self.assertEqual((0, 1), (scene.purse.quota, scene.purse.firsts))  # nothing was counted for it
         scene.choice.servers([server("b", "delta-a")])
         for room_us, least, most in ((0, 100_000, 100_000), (S, S, 3 * S // 2), (9 * S, 2 * S, 2 * S)):
             scene.purse.room_us = room_us  # the tally says when there may be room
             (over,) = scene.request(**key).start(0)
-            self.assertEqual(Kind.OVER_QUOTA, over.fault.kind)
+            self.assertEqual(ErrorCode.QUOTA_EXCEEDED, over.fault.code)
             self.assertTrue(least <= over.fault.retry_after_us <= most, over.fault.retry_after_us)
         scene.ground.fresh_until = -1
         for target, headers in (("/none/1", key), ("/safe/1", {})):
@@ -274,7 +276,7 @@
             self.assertEqual(deadline, send.deadline)
             self.assertEqual([header], [v for n, v in send.headers if n == "X-Vetchusher-Time-Remaining"])
         request = scene.request(X_Vetchusher_Time_Remaining="100")
-        self.assertEqual([Kind.NO_SERVER], kinds(request.start(92_000)))
+        self.assertEqual([ErrorCode.NO_SERVER_AVAILABLE], kinds(request.start(92_000)))
 
 
 class Explorer(TestCase):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -32,7 +32,7 @@
 from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, Stamp, VoterState
 from vetchusher.emulator.control.world import Scene, World
 from vetchusher.emulator.fleet_world import MS, SECOND
-from vetchusher.kinds import Kind
+from vetchusher.errors import ErrorCode
 
 
 def routes(count: int, version: int = 1, changed_at: int = -1) -> bytes:
@@ -112,7 +112,7 @@
         for name in ("newer", "other", "text"):
             before = {p.name: p.read_bytes() for p in (self.folder / name).iterdir()}
             fault = Store.open(str(self.folder / name)).failure()
-            self.assertEqual((Kind.BAD_STORE, 1), (fault.kind, len(fault.text.splitlines())))
+            self.assertEqual((ErrorCode.STORAGE_ERROR, 1), (fault.code, len(fault.text.splitlines())))
             self.assertEqual(before, {p.name: p.read_bytes() for p in (self.folder / name).iterdir()})
 
     def test_a_spoilt_file_is_found_and_a_new_one_begun(self) -> None:
@@ -154,7 +154,7 @@
     def test_a_folder_in_use_stays_as_it_is(self) -> None:
         store = self.store()
         store.save(self.kept(1))
-        self.assertEqual(Kind.BAD_STORE, Store.open(str(self.folder / "own")).failure().kind)
+        self.assertEqual(ErrorCode.STORAGE_ERROR, Store.open(str(self.folder / "own")).failure().code)
         self.assertEqual(Success(self.kept(1)), store.load())
 
     def test_a_crash_in_the_midst_of_carrying_the_log_over(self) -> None:
@@ -305,7 +305,8 @@
         small = self.kept(1, routes(500), 1)
         store.save(small)
         self.assertEqual(
-            Kind.BAD_STORE, store.save(self.kept(2, random.Random(1).randbytes(3 << 20), 2)).failure().kind
+            ErrorCode.STORAGE_ERROR,
+            store.save(self.kept(2, random.Random(1).randbytes(3 << 20), 2)).failure().code,
         )
         self.assertEqual(Success(small), store.load())
         self.assertEqual(Success(None), store.save(self.kept(3, routes(600), 3)))
@@ -316,7 +317,7 @@
         (store.folder / f"{FILE_NAME}.bad").write_bytes(b"x")
         with full_beyond(sum(p.stat().st_size for p in store.folder.glob(f"{FILE_NAME}*"))):
             outcome = store.save(self.kept(2, routes(4000), 2))
-            self.assertEqual(Kind.BAD_STORE, outcome.failure().kind)
+            self.assertEqual(ErrorCode.STORAGE_ERROR, outcome.failure().code)
             self.assertEqual(Success(one), store.load())
         self.assertFalse((store.folder / f"{FILE_NAME}.bad").exists())  # the first that goes
         two = self.kept(3, routes(4000), 3)
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -24,9 +24,9 @@
 from vetchusher import control
 from vetchusher.distribution.rows import configuration_of, evacuated_of, rows_of
 from vetchusher.distribution.wire_pb2 import ControlState, Stamp
+from vetchusher.errors import ErrorCode
 from vetchusher.events import Event, LogEvent
 from vetchusher.fields import FieldError
-from vetchusher.kinds import Kind
 from vetchusher.node import cli, log, reading
 from vetchusher.settings import compiled, compiling, node, schemas
 from vetchusher.settings.configuration import read_configuration
@@ -184,7 +184,7 @@
     def test_what_is_invalid_is_turned_down_with_its_place(self):
         for path, value, says in INVALID:
             fault = read(changed(path, value)).failure()
-            self.assertThat(fault.kind, Equals(Kind.INVALID))
+            self.assertThat(fault.code, Equals(ErrorCode.INVALID_ORDER))
             self.assertThat(
                 fault.text.removeprefix("configuration")[: len(says)], Equals(says), (path, value)
             )
@@ -345,7 +345,7 @@
     def test_rows_that_do_not_fit_together_are_no_configuration(self):
         rows = rows_of(read(TREE).unwrap(), b"", {})
         without = {key: value for key, value in rows.items() if key != "service/two"}
-        self.assertThat(configuration_of(without).failure().kind, Equals(Kind.BAD_MESSAGE))
+        self.assertThat(configuration_of(without).failure().code, Equals(ErrorCode.INVALID_MESSAGE))
         self.assertThat(configuration_of({}).failure().text, Equals("rows without a version"))
 
 
@@ -371,16 +371,22 @@
         raw = json.dumps(TREE).encode()
 
         async def many():
-            one = reading.Reading(asyncio.get_running_loop())
+            one = reading.ConfigurationParser(asyncio.get_running_loop())
             self.addCleanup(one.close)
-            found = await asyncio.gather(*(one.read(raw) for _ in range(reading.MOST_WAITING + 1)))
-            bad = await one.read(b"{}")
-            return found, bad, one.known(raw).unwrap().configuration is found[-2].unwrap(), one.waiting
+            found = await asyncio.gather(*(one.parse(raw) for _ in range(reading.MAX_PENDING + 1)))
+            bad = await one.parse(b"{}")
+            return (
+                found,
+                bad,
+                one.parse_at_once(raw).unwrap().configuration is found[-2].unwrap(),
+                one.pending,
+            )
 
         found, bad, known, waiting = asyncio.run(many())
         self.assertThat([is_successful(each) for each in found], Equals([True] * 8 + [False]))
         self.assertThat(
-            (found[-1].failure().kind, bad.failure().kind), Equals((Kind.NOT_SETTLED, Kind.INVALID))
+            (found[-1].failure().code, bad.failure().code),
+            Equals((ErrorCode.UNAVAILABLE, ErrorCode.INVALID_ORDER)),
         )
         self.assertThat((known, waiting, gc.isenabled()), Equals((True, 0, True)))
 
@@ -432,7 +438,7 @@
             path = self.file(text)
             fault = read_node(path).failure()
             self.assertThat(
-                (fault.kind, fault.text[: len(path) + 2]), Equals((Kind.BAD_SETTINGS, f"{path}: "))
+                (fault.code, fault.text[: len(path) + 2]), Equals((ErrorCode.INVALID_SETTINGS, f"{path}: "))
             )
             self.assertThat(fault.text, Contains(says))
         self.assertThat(read_node(str(self.folder / "no")).failure().text, Contains("No such file"))
@@ -527,11 +533,11 @@
 
 class LogTest(testtools.TestCase):
     def test_few_lines_of_one_event_and_a_count_of_the_others(self):
-        few = log.FewOfEach(most=2)
+        few = log.RateLimitFilter(most=2)
 
         def line(second, event):
             record = logging.makeLogRecord({"msg": LogEvent(event).line(), "created": second, "event": event})
-            return log.OneLine().format(record)[26:] if few.filter(record) else None
+            return log.SingleLineFormatter().format(record)[26:] if few.filter(record) else None
 
         first = [line(7, Event.STARTED) for _ in range(5)] + [line(7, Event.STOPPING)]
         self.assertThat(first, Equals(["101 started"] * 2 + [None] * 3 + ["102 stopping"]))
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -10,8 +10,8 @@
 from vetchusher.emulator.quota.scenes import drawn, drawn_large
 from vetchusher.emulator.quota.ways import EstimateAlone, GuardAlone
 from vetchusher.emulator.quota.world import Scene, Trouble, World
-from vetchusher.limits.tally import ALONE_US, Tally
-from vetchusher.limits.totals import Holder
+from vetchusher.limits.tally import ALONE_US, LocalQuota
+from vetchusher.limits.totals import QuotaCoordinator
 from vetchusher.limits.windows import Bounds, Pair, shape_of
 from vetchusher.settings.configuration import Tenant
 
@@ -22,9 +22,9 @@
     return Tenant("t", ("key",), None, rate, burst or rate, frozenset())
 
 
-def in_touch(rate: float = 100.0, nodes: int = 1) -> tuple[list[Tally], Holder]:
+def in_touch(rate: float = 100.0, nodes: int = 1) -> tuple[list[LocalQuota], QuotaCoordinator]:
     """Ingresses that the holder knows, and that know it, at 0.4 s."""
-    tallies, holder = [Tally(f"e{n}", 1) for n in range(nodes)], Holder(1, 0)
+    tallies, holder = [LocalQuota(f"e{n}", 1) for n in range(nodes)], QuotaCoordinator(1, 0)
     for side in (*tallies, holder):
         side.configure(0, {"t": tenant(rate)})
     holder.fleet(0, {tally.node: 0 for tally in tallies})
@@ -38,16 +38,16 @@
     return tallies, holder
 
 
-def tell(tally: Tally, holder: Holder, at: int, way: int = 0, lost: bool = False) -> None:
+def tell(tally: LocalQuota, holder: QuotaCoordinator, at: int, way: int = 0, lost: bool = False) -> None:
     """One push; its answer may be lost."""
     push = tally.push(at)
     if push is not None:
-        answer = holder.push(at + way, push)
+        answer = holder.on_push(at + way, push)
         if not lost:
-            tally.heard(at + 2 * way, answer)
+            tally.on_totals(at + 2 * way, answer)
 
 
-def burst(tally: Tally, at: int, asked: int = 1_000) -> int:
+def burst(tally: LocalQuota, at: int, asked: int = 1_000) -> int:
     return sum(tally.admit(at, "t") for _ in range(asked))
 
 
@@ -75,7 +75,7 @@
         tell(tally, holder, 310 * MS)
         tally.configure(320 * MS, {"t": tenant(5.0)})
         own = tally.own["t"]
-        left = own.ceiling - own.count
+        left = own.limit - own.count
         self.assertEqual(60, first)
         self.assertTrue(left >= 1.0, left)
         self.assertEqual(0, burst(tally, 330 * MS, 40))
@@ -84,12 +84,12 @@
     def test_the_guard_refuses_where_the_estimate_sees_room(self):
         # Nine ingresses between two totals: each sees what had passed by then, none what passes now.
         #   e0 .. e8   1000 come at each, at once
-        for make, bounded in ((Tally, True), (EstimateAlone, False)):
+        for make, bounded in ((LocalQuota, True), (EstimateAlone, False)):
             tallies, holder = in_touch(nodes=9)
             for tally in tallies:
                 tally.__class__ = make
             passed = sum(burst(tally, 300 * MS) for tally in tallies)
-            shape = holder.pools["t"].shape
+            shape = holder.tenants["t"].shape
             self.assertEqual(bounded, passed <= shape.depth + shape.ahead, passed)
             if bounded:
                 self.assertEqual((0, 9_000 - passed), (0, sum(t.by_ceiling for t in tallies)))
@@ -97,13 +97,13 @@
     def test_the_estimate_alone_breaks_the_bound_and_the_guard_keeps_it(self):
         hot, cut = Trouble("hot", 4 * SECOND, 6 * SECOND, 9.0), Trouble("cut", 5 * SECOND, 4 * SECOND, 0.5)
         scene = Scene(seed=1, demands=(Demand(150.0, 150.0),), troubles=(hot, cut), length=12 * SECOND)
-        both, estimate, guard = (World(scene, make).run() for make in (Tally, EstimateAlone, GuardAlone))
+        both, estimate, guard = (World(scene, make).run() for make in (LocalQuota, EstimateAlone, GuardAlone))
         self.assertEqual([], both.wrong())
         self.assertEqual([], guard.wrong())
         self.assertNotEqual([], estimate.wrong())
 
     def test_before_a_first_total_own_requests_alone_are_weighed_and_the_total_is_read_at_once(self):
-        tally = Tally("e1", 1)
+        tally = LocalQuota("e1", 1)
         tally.configure(0, {"t": tenant(10.0)})
         tally.fleet(0, 9, True)
         self.assertTrue(1 <= burst(tally, 0, 50) <= 3)
@@ -117,34 +117,34 @@
     def test_a_push_that_is_repeated_adds_once(self):
         #   e0   20 pass | push, answer lost | push again | one more
         (tally,), holder = in_touch()
-        before = holder.pools["t"].windows.current
+        before = holder.tenants["t"].windows.current
         passed = burst(tally, 400 * MS, 20)
         tell(tally, holder, 410 * MS, lost=True)
         for at in (750 * MS, 760 * MS):
             tally.own["t"].wanted = True
             tell(tally, holder, at)
         self.assertEqual(20, passed)
-        self.assertEqual(before + 20, holder.pools["t"].windows.current)
+        self.assertEqual(before + 20, holder.tenants["t"].windows.current)
 
     def test_what_passed_before_the_turn_of_a_window_is_told_as_the_last_window_s(self):
         #   holder's windows  0 ......... 1 s .........
         #   e0                   7 pass    | 4 pass, push
         (tally,), holder = in_touch()
-        start = holder.pools["t"].windows.current
+        start = holder.tenants["t"].windows.current
         self.assertEqual(7, burst(tally, 900 * MS, 7))
         self.assertEqual(4, burst(tally, 1_010 * MS, 4))
         tell(tally, holder, 1_020 * MS)
-        windows = holder.pools["t"].windows
+        windows = holder.tenants["t"].windows
         self.assertEqual((4, start + 7), (windows.current, windows.previous))
         pair = tally.own["t"].pair
         self.assertEqual((4, start + 7), (pair.total, pair.before))
 
     def test_a_window_that_has_just_ended_is_told_even_if_the_push_comes_late(self):
         (tally,), holder = in_touch()
-        start = holder.pools["t"].windows.current
+        start = holder.tenants["t"].windows.current
         burst(tally, 980 * MS, 5)
         tell(tally, holder, 990 * MS, way=55 * MS)
-        windows = holder.pools["t"].windows
+        windows = holder.tenants["t"].windows
         self.assertEqual((0, start + 5), (windows.current, windows.previous))
 
     def test_a_tenant_idle_for_two_windows_is_dropped_and_told_no_more(self):
@@ -157,25 +157,25 @@
 
     def test_a_lowered_word_counts_as_the_higher_one_until_it_is_heard(self):
         (tally,), holder = in_touch()
-        grant, pool = holder.sources["e0"][0].grants["t"], holder.pools["t"]
-        high = grant.ceiling
+        grant, pool = holder.peers["e0"][0].grants["t"], holder.tenants["t"]
+        high = grant.limit
         pool.level = -pool.shape.ahead - 5.0
         tally.own["t"].wanted = True
         tell(tally, holder, 400 * MS, lost=True)
-        self.assertEqual(high, grant.ceiling)
+        self.assertEqual(high, grant.limit)
         tally.own["t"].wanted = True
         tell(tally, holder, 500 * MS)
-        self.assertTrue(tally.own["t"].ceiling < high)
-        self.assertEqual(high, grant.ceiling)
+        self.assertTrue(tally.own["t"].limit < high)
+        self.assertEqual(high, grant.limit)
         tally.own["t"].wanted = True
         tell(tally, holder, 600 * MS)
-        self.assertTrue(grant.ceiling < high, (grant.ceiling, high))
+        self.assertTrue(grant.limit < high, (grant.limit, high))
 
     def test_all_are_told_unasked_of_a_tenant_of_whom_nothing_passes_without_a_word(self):
         # 86 ingresses could take three each of a store of 30.
         tallies, holder = in_touch(rate=10.0, nodes=86)
         idle = tallies[-1]
-        holder.pools["t"].level = -15.0
+        holder.tenants["t"].level = -15.0
         tell(tallies[0], holder, 500 * MS)
         alarm = holder.alarm(510 * MS)
         idle.alarm(570 * MS, alarm)
@@ -185,31 +185,31 @@
     def test_a_new_holder_learns_what_the_one_before_had_left(self):
         (tally,), holder = in_touch()
         burst(tally, 290 * MS, 1)
-        holder.pools["t"].level = -55.0
+        holder.tenants["t"].level = -55.0
         tell(tally, holder, 300 * MS)
-        later = Holder(2, 700 * MS)
+        later = QuotaCoordinator(2, 700 * MS)
         later.configure(700 * MS, {"t": tenant(100.0)})
         later.fleet(700 * MS, {"e0": 0})
         for at in (710 * MS, 800 * MS):
             tally.own["t"].wanted = True
             tell(tally, later, at)
         self.assertTrue(later.whole)
-        self.assertTrue(later.pools["t"].level < 5.0, later.pools["t"].level)
+        self.assertTrue(later.tenants["t"].level < 5.0, later.tenants["t"].level)
 
 
 class Standing(TestCase):
     def test_what_the_bound_stands_on_is_told_once_at_each_change(self):
         (tally,), holder = in_touch()
-        first = holder.standing()
+        first = holder.log_fields()
         figures = [first[key] for key in ("whole", "ingresses", "silent", "tenants")]
         self.assertEqual([1, 1, 0, 1], figures)
         self.assertTrue(0.8 < float(first["bound"]) < 1.0, first)
-        self.assertIsNone(holder.standing())
+        self.assertIsNone(holder.log_fields())
         holder.fleet(500 * MS, {f"e{n}": 0 for n in range(86)})
-        self.assertEqual(86, holder.standing()["ingresses"])
-        self.assertIsNotNone(tally.standing(300 * MS))
-        self.assertIsNone(tally.standing(310 * MS))
-        self.assertFalse(tally.standing(5_000 * MS) is None or tally.stood)
+        self.assertEqual(86, holder.log_fields()["ingresses"])
+        self.assertIsNotNone(tally.log_fields(300 * MS))
+        self.assertIsNone(tally.log_fields(310 * MS))
+        self.assertFalse(tally.log_fields(5_000 * MS) is None or tally.stood)
 
 
 class CountedSources(dict):
@@ -225,7 +225,7 @@
 class CostOfAPush(TestCase):
     def test_ingresses_are_not_counted_anew_for_each_tenant(self):
         tenants = {f"t{n}": tenant(100.0) for n in range(50)}
-        tally, holder = Tally("e0", 1), Holder(1, 0)
+        tally, holder = LocalQuota("e0", 1), QuotaCoordinator(1, 0)
         for side in (tally, holder):
             side.configure(0, tenants)
         holder.fleet(0, {"e0": 0})
@@ -233,16 +233,16 @@
         tell(tally, holder, 1 * MS)
         for name in tenants:
             tally.admit(10 * MS, name)
-        holder.sources = CountedSources(holder.sources)
+        holder.peers = CountedSources(holder.peers)
         tell(tally, holder, 20 * MS)
-        self.assertEqual(50, len(holder.sources["e0"][0].grants))
-        self.assertTrue(holder.sources.looks <= 2, holder.sources.looks)
+        self.assertEqual(50, len(holder.peers["e0"][0].grants))
+        self.assertTrue(holder.peers.looks <= 2, holder.peers.looks)
 
     def test_ingresses_are_those_named_and_those_that_pushed(self):
         (_tally,), holder = in_touch()
         holder.fleet(300 * MS, {"e0": 0, "e1": 0})
         self.assertEqual(2, holder.ingresses)
-        holder.push(310 * MS, Push(node="e7", life=1, number=1))
+        holder.on_push(310 * MS, Push(node="e7", life=1, number=1))
         self.assertEqual(3, holder.ingresses)
         holder.fleet(70_000 * MS, {"e1": 0})
         self.assertEqual(1, holder.ingresses)
@@ -253,7 +253,7 @@
         #  after a loss of power, no holder
         #  named: passes its part, then as much as its part of the rate
         #  not named: passes nothing
-        named, unnamed = Tally("e1", 1), Tally("e9", 1)
+        named, unnamed = LocalQuota("e1", 1), LocalQuota("e9", 1)
         for tally, told in ((named, True), (unnamed, False)):
             tally.configure(0, {"t": tenant(90.0)})
             tally.fleet(0, 9, told)
--- a/vetchusher/control/archive.py
+++ b/vetchusher/control/archive.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.distribution.wire_pb2 import Row, SourceNews
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 
 from .database_file import create_database, fsync_path
 from .encoding import decode_rows, encode_rows
@@ -39,7 +39,7 @@
     return EXPORT_PREFIX + b"%d\n" % EXPORT_FORMAT + blake3(raw).hexdigest().encode() + b"\n" + raw
 
 
-def decode_export(data: bytes) -> Result[PersistentState, Fault]:
+def decode_export(data: bytes) -> Result[PersistentState, Error]:
     """Return what `encode_export` was given; any other byte anywhere is a failure of one line."""
     header, _, remainder = data.partition(b"\n")
     if not header.startswith(EXPORT_PREFIX) or not header.removeprefix(EXPORT_PREFIX).isdigit():
@@ -63,7 +63,7 @@
     return encode_export(contents) == data
 
 
-def write_export(path: Path, contents: PersistentState) -> Result[None, Fault]:
+def write_export(path: Path, contents: PersistentState) -> Result[None, Error]:
     """Write an export completely and synced, or nothing; a file that exists stays."""
     temporary = path.with_name(f"{path.name}.new")
     try:
@@ -80,7 +80,7 @@
         temporary.unlink(missing_ok=True)
 
 
-def read_export(path: Path) -> Result[PersistentState, Fault]:
+def read_export(path: Path) -> Result[PersistentState, Error]:
     """Read an export."""
     try:
         return decode_export(path.read_bytes())
@@ -88,7 +88,7 @@
         return failure(error.strerror or str(error))
 
 
-def import_into(folder: Path, imported_state: PersistentState) -> Result[None, Fault]:
+def import_into(folder: Path, imported_state: PersistentState) -> Result[None, Error]:
     """Write an imported state into a folder that is empty or absent: completely and synced, or nothing."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -100,6 +100,6 @@
         return failure(getattr(error, "strerror", None) or str(error))
 
 
-def failure(text: str) -> Failure[Fault]:
+def failure(text: str) -> Failure[Error]:
     """Return a failure of the kind `BAD_STORE`."""
-    return Failure(Fault(Kind.BAD_STORE, text))
+    return Failure(Error(ErrorCode.STORAGE_ERROR, text))
--- a/vetchusher/control/follower.py
+++ b/vetchusher/control/follower.py
@@ -110,7 +110,7 @@
         reply.granted = True
         message = ControlMessage(granted=reply)
         self.outputs += self.durable.send_when_synced(sender, message, self.durable.revision)
-        self.log_event(Event.EPOCH_PROMISED, epoch=epoch, to=sender)
+        self.log_event(Event.VOTE_GRANTED, epoch=epoch, to=sender)
 
     # -- a primary's messages -------------------------------------------------------------------
 
--- a/vetchusher/control/messages.py
+++ b/vetchusher/control/messages.py
@@ -8,8 +8,8 @@
 from returns.result import Result
 
 from vetchusher.distribution.wire_pb2 import ControlMessage, ControlState, ReplicaSet
+from vetchusher.errors import Error
 from vetchusher.events import LogEvent
-from vetchusher.kinds import Fault
 
 
 @dataclass(slots=True, frozen=True)
@@ -244,7 +244,7 @@
     """
 
     order_id: int
-    outcome: Result[bytes, Fault]
+    outcome: Result[bytes, Error]
 
 
 @dataclass(slots=True, frozen=True)
--- a/vetchusher/control/order_queue.py
+++ b/vetchusher/control/order_queue.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Result
 
 from vetchusher.distribution.wire_pb2 import ControlState
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 
 from .messages import Completed, Order, Output, RetrieveOrder, Submitted, Timing
 from .orders import Decision, KnownBodies, OrderBatch
@@ -43,7 +43,7 @@
     def submit(self, now: int, submitted: Submitted) -> list[Output]:
         """Queue an order; beyond the bound it is answered as not committed."""
         if len(self.changes) + len(self.in_write) + len(self.reads) >= MAX_PENDING_ORDERS:
-            fault = Fault(Kind.NOT_SETTLED, "too many orders wait")
+            fault = Error(ErrorCode.UNAVAILABLE, "too many orders wait")
             return [Completed(submitted.order_id, Failure(fault))]
         queue = self.reads if isinstance(submitted.order, RetrieveOrder) else self.changes
         expires_at = now + self.timing.order_timeout_us
@@ -67,7 +67,7 @@
         self.known_bodies = batch.known_bodies()
         return batch, outputs
 
-    def answer_reads(self, outcome: Result[bytes, Fault]) -> list[Output]:
+    def answer_reads(self, outcome: Result[bytes, Error]) -> list[Output]:
         """Answer all reads."""
         reads, self.reads = self.reads, []
         return [Completed(one.order_id, outcome) for one in reads]
@@ -98,4 +98,4 @@
 
 
 def _not_committed(pending: Iterable[PendingOrder], text: str) -> list[Output]:
-    return [Completed(one.order_id, Failure(Fault(Kind.NOT_SETTLED, text))) for one in pending]
+    return [Completed(one.order_id, Failure(Error(ErrorCode.UNAVAILABLE, text))) for one in pending]
--- a/vetchusher/control/orders.py
+++ b/vetchusher/control/orders.py
@@ -15,8 +15,8 @@
 from returns.result import Failure, Result
 
 from vetchusher.distribution.wire_pb2 import ControlState
+from vetchusher.errors import Error
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault
 
 from .messages import Completed, Order, Output, ReplaceOrder
 from .state import apply_order, version_conflict
@@ -51,7 +51,7 @@
     :param event: to be logged when it is reported
     """
 
-    outcome: Result[bytes, Fault]
+    outcome: Result[bytes, Error]
     needs_commit: bool
     event: LogEvent | None = None
 
@@ -105,7 +105,7 @@
             self.digests[version] = sent_digest
         return Decision(self.apply(order), needs_commit)
 
-    def apply(self, order: Order) -> Result[bytes, Fault]:
+    def apply(self, order: Order) -> Result[bytes, Error]:
         """Apply an order to the batch's state."""
         after = apply_order(self.state, order)
         self.state = after.value_or(self.state)
@@ -123,4 +123,4 @@
         "taken": known_digest[:LOGGED_BYTES].hex(),
         "refused": refused_digest[:LOGGED_BYTES].hex(),
     }
-    return LogEvent(Event.ORDERS_CONFLICT, facts)
+    return LogEvent(Event.VERSION_CONFLICT, facts)
--- a/vetchusher/control/primary.py
+++ b/vetchusher/control/primary.py
@@ -20,8 +20,8 @@
     VoteRequest,
     WriteReply,
 )
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault, Kind
 
 from .durable_state import DurableState
 from .leader_lease import LeaderLease
@@ -173,7 +173,7 @@
         current = self.reconfiguration.current
         facts = {"epoch": self.epoch, "copies": ",".join(current.copies), "number": current.number}
         size = len(current.members)
-        outputs: list[Output] = [LogEvent(Event.COPIES_HELD, facts)]
+        outputs: list[Output] = [LogEvent(Event.REPLICA_SET_ESTABLISHED, facts)]
         for ip in sorted(set(current.members) - voters(previous)):
             outputs.append(LogEvent(Event.MEMBER_JOINED, {"member": ip, "members": size}))
         for ip in sorted(voters(previous) - voters(current)):
@@ -226,10 +226,10 @@
                 outputs += self.orders.answer_write()
         return outputs + self.orders.answer_expired(now)
 
-    def read_configuration(self) -> Result[bytes, Fault]:
+    def read_configuration(self) -> Result[bytes, Error]:
         """Return the committed configuration's bytes as they were sent."""
         if self.committed is None or not self.committed.version:
-            return Failure(Fault(Kind.NOT_SETTLED, "no configuration yet"))
+            return Failure(Error(ErrorCode.UNAVAILABLE, "no configuration yet"))
         return Success(self.committed.configuration)
 
     def fail_pending_orders(self) -> list[Output]:
--- a/vetchusher/control/repair.py
+++ b/vetchusher/control/repair.py
@@ -188,7 +188,7 @@
             and status.generation > self.damaged_generation
         ):
             self.damaged_generation = None
-            out.append(LogEvent(Event.ROWS_MENDED, {"written": status.generation}))
+            out.append(LogEvent(Event.ROWS_REWRITTEN, {"written": status.generation}))
         if self.comparison is not None and now >= self.comparison.expires_at:
             self.comparison = None
         if status.generation is not None and not self.is_scanning and now >= self.next_scan_at:
@@ -218,7 +218,7 @@
             return []
         self.damaged_generation = self.status.generation
         self.next_comparison_at = now  # what is written again is compared with the primary's at once
-        return [LogEvent(Event.ROWS_SPOILT, {"rows": "; ".join(result.damaged)}), RewriteRows()]
+        return [LogEvent(Event.ROWS_DAMAGED, {"rows": "; ".join(result.damaged)}), RewriteRows()]
 
     # -- asking --------------------------------------------------------------------------------
 
--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -69,7 +69,7 @@
         super().__init__(settings, durable, voter, recovery, rng, now)
         self.last_run_at = now
         if self.recovery:
-            self.log_event(Event.AMNESIAC)
+            self.log_event(Event.RECOVERY_STARTED)
 
     # -- questions of the process ------------------------------------------------------------------
 
--- a/vetchusher/control/roles.py
+++ b/vetchusher/control/roles.py
@@ -22,8 +22,8 @@
     VoteReply,
     WriteReply,
 )
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event
-from vetchusher.kinds import Fault, Kind
 
 from .amnesia import AmnesiaRecovery
 from .durable_state import DurableState
@@ -140,7 +140,7 @@
             self.timing, self.durable, self.peers, epoch, replica_set, self.losses, first_round, now
         )
         self.voter.leaseholder, self.election_due_at = "", None
-        self.log_event(Event.PRIMARY, epoch=epoch)
+        self.log_event(Event.BECAME_PRIMARY, epoch=epoch)
         self.outputs += primary.write(now, self.durable.state)
         self.outputs += primary.renew(now)
 
@@ -182,7 +182,7 @@
         if primary is not None:
             self.outputs += primary.fail_pending_orders()
             self.election_due_at = None
-            self.log_event(Event.PRIMARY_NO_MORE, epoch=primary.epoch, why=reason)
+            self.log_event(Event.STEPPED_DOWN, epoch=primary.epoch, why=reason)
 
     def on_write_reply(self, now: int, sender: str, reply: WriteReply) -> None:
         """Take a machine's answer to a write."""
@@ -215,7 +215,7 @@
         if self.primary_role is not None:
             self.outputs += self.primary_role.submit(now, submitted)
             return
-        fault = Fault(Kind.NOT_SETTLED, "this machine is not the primary")
+        fault = Error(ErrorCode.UNAVAILABLE, "this machine is not the primary")
         self.outputs.append(Completed(submitted.order_id, Failure(fault)))
 
     # -- graceful shutdown -------------------------------------------------------------------------
@@ -273,7 +273,7 @@
         elif self.durable.synced_revision == self.durable.revision:
             self.recovery = None
             self.log_event(
-                Event.RECOVERED,
+                Event.RECOVERY_FINISHED,
                 promised=self.durable.voted_epoch,
                 record=replica_set_id(self.durable.replica_set),
             )
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, ReplicaSet, Stamp
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 
 from .messages import EvacuationOrder, Order, ReplaceOrder
 
@@ -100,7 +100,7 @@
     return made
 
 
-def apply_order(state: ControlState, order: Order) -> Result[ControlState, Fault]:
+def apply_order(state: ControlState, order: Order) -> Result[ControlState, Error]:
     """Return the state after one order; the very same object where the order changes nothing."""
     if isinstance(order, ReplaceOrder):
         return apply_replace(state, order)
@@ -109,7 +109,7 @@
     return Success(state)
 
 
-def apply_replace(state: ControlState, order: ReplaceOrder) -> Result[ControlState, Fault]:
+def apply_replace(state: ControlState, order: ReplaceOrder) -> Result[ControlState, Error]:
     """Replace the configuration. The highest version wins: a lower one changes nothing, an equal one has to
     be the same.
     """
@@ -122,23 +122,26 @@
     return Success(made)
 
 
-def version_conflict(version: int) -> Fault:
+def version_conflict(version: int) -> Error:
     """Return the error of a version that another body already has."""
-    return Fault(
-        Kind.CONFLICT, f"r{version} is taken by another body: read it back, and send a higher version"
+    return Error(
+        ErrorCode.VERSION_CONFLICT,
+        f"r{version} is taken by another body: read it back, and send a higher version",
     )
 
 
-def apply_evacuation(state: ControlState, order: EvacuationOrder) -> Result[ControlState, Fault]:
+def apply_evacuation(state: ControlState, order: EvacuationOrder) -> Result[ControlState, Error]:
     """Begin or end the evacuation of a zone."""
     current = first((e for e in state.evacuations if e.zone == order.zone), None)
     if order.on == (current is not None and current.on):
         return Success(state)
     # Danger: on its way between two machines an order may be held up, and come after later ones.
     if order.previous_order is not None and order.previous_order != last_evacuation_order(state, order.zone):
-        return Failure(Fault(Kind.NOT_SETTLED, "the zone had another order meanwhile"))
+        return Failure(Error(ErrorCode.UNAVAILABLE, "the zone had another order meanwhile"))
     if current is None and len(state.evacuations) >= MAX_ZONES:
-        return Failure(Fault(Kind.INVALID, f"evacuation of {order.zone[:40]}: too many zones are named"))
+        return Failure(
+            Error(ErrorCode.INVALID_ORDER, f"evacuation of {order.zone[:40]}: too many zones are named")
+        )
     number = 1 + max((e.order for e in state.evacuations), default=0)
     made = copy_state(state)
     del made.evacuations[:]
--- a/vetchusher/control/store.py
+++ b/vetchusher/control/store.py
@@ -14,7 +14,7 @@
 from google.protobuf.message import DecodeError
 from returns.result import Failure, Result, Success
 
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 
 from .chunks import chunk_digest, parse_manifest, split_chunks
 from .database_file import (
@@ -51,7 +51,7 @@
         self.imported_state: PersistentState | None = None  # what an import brought, until the first save
 
     @staticmethod
-    def open(folder: str, disk_mb: int = 0) -> Result[Store, Fault]:
+    def open(folder: str, disk_mb: int = 0) -> Result[Store, Error]:
         """Open the store of a folder that is empty or ours; one of an older format is migrated.
 
         A failure says in a line what stands in the way: a file of another kind or of a newer format, which is
@@ -68,7 +68,7 @@
                 path.mkdir(parents=True)
             fault = why_foreign(file)
             if fault:
-                return Failure(Fault(Kind.BAD_STORE, f"{file}: {fault}"))
+                return Failure(Error(ErrorCode.STORAGE_ERROR, f"{file}: {fault}"))
             if not file.exists():
                 create_database(path)
             connection = connect(file, max_bytes)
@@ -76,17 +76,17 @@
             store.is_damaged = not migrate(connection)
             return Success(store)
         except FileError as error:
-            return Failure(Fault(Kind.BAD_STORE, f"{file}: {error}"))
+            return Failure(Error(ErrorCode.STORAGE_ERROR, f"{file}: {error}"))
         except sqlite3.DatabaseError as error:
             if is_corruption(error):
                 return Success(Store(path, None, max_bytes))
-            return Failure(Fault(Kind.BAD_STORE, f"{file}: {error}"))
+            return Failure(Error(ErrorCode.STORAGE_ERROR, f"{file}: {error}"))
         except OSError as error:
-            return Failure(Fault(Kind.BAD_STORE, f"{path}: {error}"))
+            return Failure(Error(ErrorCode.STORAGE_ERROR, f"{path}: {error}"))
 
     # -- reading -------------------------------------------------------------------------------
 
-    def load(self) -> Result[PersistentState | None, Fault]:
+    def load(self) -> Result[PersistentState | None, Error]:
         """Return what was saved last; None: nothing ever was, or the folder was imported (`imported_state`).
 
         On a failure the caller goes on as with an empty disk (an amnesiac, which asks all others).  The next
@@ -99,7 +99,7 @@
         self.is_damaged = not isinstance(outcome, Success)
         return outcome
 
-    def read(self, connection: sqlite3.Connection) -> Result[PersistentState | None, Fault]:
+    def read(self, connection: sqlite3.Connection) -> Result[PersistentState | None, Error]:
         """Read and check all rows."""
         self.forget_rows()
         try:
@@ -125,9 +125,9 @@
         except (sqlite3.Error, DecodeError, KeyError, ValueError, TypeError) as error:
             return self.damaged(f"{type(error).__name__} {error}")
 
-    def damaged(self, text: str) -> Result[PersistentState | None, Fault]:
+    def damaged(self, text: str) -> Result[PersistentState | None, Error]:
         """Return the failure of a store that cannot be read."""
-        return Failure(Fault(Kind.BAD_STORE, f"{self.folder / FILE_NAME}: {text}"))
+        return Failure(Error(ErrorCode.STORAGE_ERROR, f"{self.folder / FILE_NAME}: {text}"))
 
     def remember_rows(
         self,
@@ -144,7 +144,7 @@
 
     # -- writing -------------------------------------------------------------------------------
 
-    def save(self, contents: PersistentState) -> Result[None, Fault]:
+    def save(self, contents: PersistentState) -> Result[None, Error]:
         """Write the contents, synced on return.  After a failure the disk holds what it held, or these."""
         try:
             if self.is_damaged or self.connection is None:
@@ -154,7 +154,7 @@
             return Success(None)
         except (OSError, sqlite3.Error) as error:
             self.recover_from(error)
-            return Failure(Fault(Kind.BAD_STORE, f"{self.folder / FILE_NAME}: {error}"))
+            return Failure(Error(ErrorCode.STORAGE_ERROR, f"{self.folder / FILE_NAME}: {error}"))
 
     def recover_from(self, error: OSError | sqlite3.Error) -> None:
         """Get ready for the next save after one that failed."""
--- a/vetchusher/directory/presence.py
+++ b/vetchusher/directory/presence.py
@@ -23,16 +23,16 @@
     zone: str
     region: str
     front: str
-    life: int
-    standing: wire.Standing
-    heard_at: int
+    incarnation: int
+    state: wire.Standing
+    last_contact_at: int
 
     def as_serving(self) -> ServingIngress:
         return ServingIngress(self.node, self.zone, self.region, self.front)
 
-    def serves(self, now: int) -> bool:
+    def is_serving(self, now: int) -> bool:
         """Ready, by a recent heartbeat."""
-        return self.standing == wire.READY and now - self.heard_at <= SERVING_US
+        return self.state == wire.READY and now - self.last_contact_at <= SERVING_US
 
 
 class Presence:
@@ -40,17 +40,17 @@
 
     def __init__(self) -> None:
         self.ingresses: dict[str, Ingress] = {}
-        self.lost: set[str] = set()  # of `ingresses`: logged as lost
+        self.departed: set[str] = set()  # of `ingresses`: logged as lost
 
-    def heard(self, now: int, heartbeat: wire.Heartbeat) -> list[LogEvent]:
+    def on_heartbeat(self, now: int, heartbeat: wire.Heartbeat) -> list[LogEvent]:
         """Take in a heartbeat; those of machines that take no clients are ignored."""
         if not heartbeat.front:
             return []
         known = self.ingresses.get(heartbeat.node)
         if known is None and len(self.ingresses) >= MOST_INGRESSES:
             return []
-        fresh = known is None or known.life != heartbeat.life or heartbeat.node in self.lost
-        self.lost.discard(heartbeat.node)
+        fresh = known is None or known.incarnation != heartbeat.life or heartbeat.node in self.departed
+        self.departed.discard(heartbeat.node)
         self.ingresses[heartbeat.node] = Ingress(
             heartbeat.node,
             heartbeat.ip,
@@ -62,20 +62,20 @@
             now,
         )
         return (
-            [LogEvent(Event.INGRESS_SEEN, {"node": heartbeat.node, "standing": heartbeat.standing})]
+            [LogEvent(Event.INGRESS_READY, {"node": heartbeat.node, "standing": heartbeat.standing})]
             if fresh
             else []
         )
 
-    def sweep(self, now: int) -> list[LogEvent]:
+    def expire(self, now: int) -> list[LogEvent]:
         notes = []
         for node, one in list(self.ingresses.items()):
-            silent = now - one.heard_at
+            silent = now - one.last_contact_at
             if silent > MAY_SERVE_US:
                 del self.ingresses[node]
-                self.lost.discard(node)
-            elif silent > SERVING_US and node not in self.lost:
-                self.lost.add(node)
+                self.departed.discard(node)
+            elif silent > SERVING_US and node not in self.departed:
+                self.departed.add(node)
                 notes.append(LogEvent(Event.INGRESS_LOST, {"node": node}))
         return notes
 
@@ -86,21 +86,21 @@
         """
         if node not in self.ingresses and len(self.ingresses) < MOST_INGRESSES:
             self.ingresses[node] = Ingress(node, "", "", "", "", 0, wire.STARTING, now)
-            self.lost.add(node)
+            self.departed.add(node)
 
     def rows(self, now: int) -> dict[str, bytes]:
         """Rows for subscribers: every ingress that may be serving, by name, and whether it does."""
         return {
-            one.node: row_of(one.ip, one.as_serving(), one.serves(now)) for one in self.ingresses.values()
+            one.node: row_of(one.ip, one.as_serving(), one.is_serving(now)) for one in self.ingresses.values()
         }
 
     def may_serve(self) -> dict[str, int]:
         """Time (us) of the last heartbeat of each that may have clients, lost ones included."""
-        return {node: one.heard_at for node, one in self.ingresses.items()}
+        return {node: one.last_contact_at for node, one in self.ingresses.items()}
 
     def serving(self, now: int) -> list[Ingress]:
         """Those that are ready, by a recent heartbeat."""
-        return [one for one in self.ingresses.values() if one.serves(now)]
+        return [one for one in self.ingresses.values() if one.is_serving(now)]
 
-    def name(self, now: int, region: str, zone: str) -> list[str]:
+    def resolve(self, now: int, region: str, zone: str) -> list[str]:
         return named((one.as_serving() for one in self.serving(now)), region, zone)
--- a/vetchusher/discovery/reader.py
+++ b/vetchusher/discovery/reader.py
@@ -14,7 +14,7 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 
 from .server import Server
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListedServer:
     """One entry of the list."""
 
     instance: str
@@ -43,15 +43,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Page:
-    entries: list[Listed]
+    entries: list[ListedServer]
     next_token: str | None
 
 
-def unreadable_page(text: str) -> Result[Page, Fault]:
-    return Failure(Fault(Kind.BAD_MESSAGE, text))
+def unreadable_page(text: str) -> Result[Page, Error]:
+    return Failure(Error(ErrorCode.INVALID_MESSAGE, text))
 
 
-def read_page(raw: bytes) -> Result[Page, Fault]:
+def read_page(raw: bytes) -> Result[Page, Error]:
     """One page of `GET /instances`.  A page of which any entry cannot be read is not used: what is missing
     from a list counts as gone."""
     try:
@@ -68,14 +68,14 @@
     return Success(Page(entries, token or None))
 
 
-def _entry(row: Mapping[str, Any]) -> Listed:
+def _entry(row: Mapping[str, Any]) -> ListedServer:
     instance, address, state = row["instance_id"], row["address"], row["state"]
     host, _, port = str(address).rpartition(":")
     if not isinstance(instance, str) or not instance or not host or not 0 < int(port) < 65_536:
         raise ValueError(f"instance {instance!r} at {address!r}")
     if state not in ("available", "draining"):
         raise ValueError(f"state {state!r}")
-    return Listed(
+    return ListedServer(
         instance,
         str(row["service"]),
         str(address),
@@ -93,29 +93,31 @@
 
 
 @dataclass(slots=True)
-class Known:
-    listed: Listed
+class KnownServer:
+    listed: ListedServer
     cold_owner: str
     owner_wait_ms: int
     cold_ms: int  # as first listed: rows do not change while the time runs down
     absent: int = 0
 
 
-class Reader:
+class ServerListReader:
     """Owner of the servers listed; one is removed when ABSENT_READS whole reads lack it."""
 
     def __init__(self, zones: Mapping[str, str], kept: Mapping[str, bytes]) -> None:
         """:param kept: rows of the previous reader: owners of cold budgets stay"""
         self.zones = zones
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, KnownServer] = {}
         for key, value in kept.items():
             match read_row(key, value, 0):
                 case Success(server):
-                    self.known[key] = Known(_listed(server), server.cold_owner, 0, server.cold_until // 1000)
+                    self.known[key] = KnownServer(
+                        _listed(server), server.cold_owner, 0, server.cold_until // 1000
+                    )
                 case _:
                     continue
 
-    def read(self, entries: Sequence[Listed], ingresses: Iterable[tuple[str, str]]) -> dict[str, bytes]:
+    def read(self, entries: Sequence[ListedServer], ingresses: Iterable[tuple[str, str]]) -> dict[str, bytes]:
         """Rows after a whole read.
 
         :param ingresses: node name and region of those that serve
@@ -127,14 +129,14 @@
             if known.absent >= ABSENT_READS:
                 del self.known[instance]
         for instance, entry in named.items():
-            known = self.known.setdefault(instance, Known(entry, "", 0, 0))
+            known = self.known.setdefault(instance, KnownServer(entry, "", 0, 0))
             if not entry.cold_left_ms or entry.cold_left_ms > known.cold_ms:
                 known.cold_ms = entry.cold_left_ms
             known.listed = entry
             self._assign_cold_owner(known, nodes)
         return {instance: write_row(known) for instance, known in self.known.items()}
 
-    def _assign_cold_owner(self, known: Known, nodes: list[tuple[str, str]]) -> None:
+    def _assign_cold_owner(self, known: KnownServer, nodes: list[tuple[str, str]]) -> None:
         if any(node == known.cold_owner for node, _ in nodes):
             return
         region = self.zones.get(known.listed.zone, "")
@@ -145,8 +147,8 @@
             known.cold_owner = max(near, key=lambda node: rank(node, known.listed.instance))
 
 
-def _listed(server: Server) -> Listed:
-    return Listed(
+def _listed(server: Server) -> ListedServer:
+    return ListedServer(
         server.instance,
         server.service,
         server.address,
@@ -158,7 +160,7 @@
     )
 
 
-def write_row(known: Known) -> bytes:
+def write_row(known: KnownServer) -> bytes:
     one = known.listed
     fields = [one.service, one.address, one.zone, one.version, one.capacity, int(one.draining)]
     return json.dumps(
@@ -166,7 +168,7 @@
     ).encode()
 
 
-def read_row(instance: str, value: bytes, now: int) -> Result[Server, Fault]:
+def read_row(instance: str, value: bytes, now: int) -> Result[Server, Error]:
     """A row as a server, its spans counted from `now` (us): later than they began, so never too short."""
     try:
         service, address, zone, version, capacity, draining, cold_ms, cold_owner, wait_ms = json.loads(value)
@@ -187,4 +189,4 @@
             )
         )
     except (ValueError, TypeError) as err:
-        return Failure(Fault(Kind.BAD_MESSAGE, f"row of server {instance}: {err}"))
+        return Failure(Error(ErrorCode.INVALID_MESSAGE, f"row of server {instance}: {err}"))
--- a/vetchusher/distribution/rows.py
+++ b/vetchusher/distribution/rows.py
@@ -14,7 +14,7 @@
 import orjson
 from returns.result import Failure, Result
 
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.settings.configuration import Configuration, Route, read_configuration
 
 ROUTE, SERVICE, TENANT, EVACUATED = "route/", "service/", "tenant/", "evacuated/"
@@ -41,10 +41,10 @@
     return {f"{EVACUATED}{zone}": encoded(on) for zone, on in evacuated.items()}
 
 
-def configuration_of(rows: Mapping[str, bytes]) -> Result[Configuration, Fault]:
+def configuration_of(rows: Mapping[str, bytes]) -> Result[Configuration, Error]:
     """The configuration of whole rows; `BAD_MESSAGE` where they are none, as before the first version."""
     if VERSION not in rows:
-        return Failure(Fault(Kind.BAD_MESSAGE, "rows without a version"))
+        return Failure(Error(ErrorCode.INVALID_MESSAGE, "rows without a version"))
     parts = (
         b'"version":' + rows[VERSION],
         b'"limits":' + rows.get(LIMITS, b"null"),
@@ -53,7 +53,7 @@
         listed(b"subscribers", rows, TENANT),
     )
     return read_configuration(b"{" + b",".join(parts) + b"}").alt(
-        lambda fault: Fault(Kind.BAD_MESSAGE, fault.text)
+        lambda fault: Error(ErrorCode.INVALID_MESSAGE, fault.text)
     )
 
 
--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -225,11 +225,11 @@
                 self.judging().commits(cell.ip, out.state)
             elif isinstance(out, Completed):
                 self.answered(out)
-            elif isinstance(out, LogEvent) and out.event is Event.PRIMARY:
+            elif isinstance(out, LogEvent) and out.event is Event.BECAME_PRIMARY:
                 epoch = out.facts["epoch"]
                 assert isinstance(epoch, int)
                 self.judging().led(epoch, f"{cell.ip}/{cell.life}")
-            elif isinstance(out, LogEvent) and out.event is Event.COPIES_HELD:
+            elif isinstance(out, LogEvent) and out.event is Event.REPLICA_SET_ESTABLISHED:
                 assert cell.member is not None and cell.member.primary_role is not None
                 record = cell.member.primary_role.reconfiguration.current
                 self.judging().stands(record, {c.ip: c.disk for c in self.cells})
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -20,7 +20,7 @@
 )
 from vetchusher.distribution.wire_pb2 import ControlState, ReplicaSet
 from vetchusher.emulator.fleet_world import SECOND
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 
 # How old what is said to be in force may be: heard within a second, from a primary whose lease had not run
 # out, in a message that was late.
@@ -33,8 +33,8 @@
     return work.committed.version if work is not None and work.committed is not None else None
 
 
-def in_conflict(outcome: Result[bytes, Fault]) -> bool:
-    return isinstance(outcome, Failure) and outcome.failure().kind is Kind.CONFLICT
+def in_conflict(outcome: Result[bytes, Error]) -> bool:
+    return isinstance(outcome, Failure) and outcome.failure().code is ErrorCode.VERSION_CONFLICT
 
 
 @dataclass(slots=True)
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -46,7 +46,7 @@
     VoteReply,
     WriteReply,
 )
-from vetchusher.kinds import Fault
+from vetchusher.errors import Error
 
 REAL_START, REAL_FOLLOWS = Replica.__init__, Replica.follow
 REAL_RENEWED, REAL_ASKED, REAL_WRITTEN = (
@@ -263,7 +263,7 @@
     self.primary_role = work
 
 
-def any_body(held: ControlState, order: messages.ReplaceOrder) -> Result[ControlState, Fault]:
+def any_body(held: ControlState, order: messages.ReplaceOrder) -> Result[ControlState, Error]:
     """What is not above the version held changes nothing, whatever its body."""
     return Success(held) if order.version <= held.version else state.apply_replace(held, order)
 
--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -32,7 +32,7 @@
     first_configuration,
 )
 from vetchusher.emulator.wal import Commits
-from vetchusher.kinds import STATUS, Kind
+from vetchusher.errors import HTTP_STATUS, ErrorCode
 from vetchusher.node.folders import kept_in
 
 from .call_history import History, Ordered, Read, Seen, Wrote
@@ -46,7 +46,7 @@
 HASTE_S = 0.3  # of whoever measures for how long nobody acknowledges, and his pause
 HASTE_PACE_S = 0.03
 PACE_S = 0.15  # between two calls of an operator
-CONFLICT = STATUS[Kind.CONFLICT]
+CONFLICT = HTTP_STATUS[ErrorCode.VERSION_CONFLICT]
 DEAD_S = 15.0  # after which an order without a clear answer is in nobody's memory: longer than any door or
 # process waits, and than a process is stopped
 CATCH_UP_S = 4.0  # a machine counts as lost for so long after its return
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -38,8 +38,8 @@
 from vetchusher.control.state import ZERO_STAMP, StampTuple, state_stamp
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault, Kind
 
 from .call_history import History, Read, Wrote
 from .judge import Judge, committed_version, in_conflict
@@ -50,8 +50,8 @@
 SEAT_WAIT = 500 * MS  # as `node.control_node.LAST_VOTE_S`
 MOST_INBOX = 400
 PATIENCE = 4 * SECOND  # of an operator, for one answer
-Answer = Callable[[Result[bytes, Fault]], None]
-SILENT: Result[bytes, Fault] = Failure(Fault(Kind.NOT_SETTLED, "no answer"))
+Answer = Callable[[Result[bytes, Error]], None]
+SILENT: Result[bytes, Error] = Failure(Error(ErrorCode.UNAVAILABLE, "no answer"))
 
 
 @dataclass(slots=True)
@@ -274,11 +274,13 @@
         else:
             self.events[out.event.name] += 1
             self.log.append((self.at, machine.ip, out))
-            if out.event is Event.PRIMARY:
+            if out.event is Event.BECAME_PRIMARY:
                 epoch = out.facts["epoch"]
                 assert isinstance(epoch, int)
                 self.judge.led(epoch, f"{machine.ip}/{machine.life}")
-            elif out.event is Event.COPIES_HELD and machine.member and machine.member.primary_role:
+            elif (
+                out.event is Event.REPLICA_SET_ESTABLISHED and machine.member and machine.member.primary_role
+            ):
                 record = machine.member.primary_role.reconfiguration.current
                 self.judge.stands(record, {ip: m.disk for ip, m in self.machines.items()})
 
@@ -449,7 +451,7 @@
         if not attempt.given_up:
             attempt.answer(out.outcome)
 
-    def judged(self, attempt: Attempt, order: ReplaceOrder, outcome: Result[bytes, Fault]) -> None:
+    def judged(self, attempt: Attempt, order: ReplaceOrder, outcome: Result[bytes, Error]) -> None:
         if isinstance(outcome, Success):
             self.judge.acked(order.version, order.body, attempt.floor)
         elif in_conflict(outcome):
@@ -470,7 +472,7 @@
         began, number = self.at / SECOND, len(self.history.writes)
         self.history.writes.append(Wrote(version, began, body=variant))
 
-        def answer(outcome: Result[bytes, Fault]) -> None:
+        def answer(outcome: Result[bytes, Error]) -> None:
             if isinstance(outcome, Success):
                 self.history.writes[number] = Wrote(version, began, self.at / SECOND, variant)
             elif in_conflict(outcome):
@@ -489,7 +491,7 @@
     ) -> None:
         """One at a time for each zone, sent again until it is answered."""
 
-        def answer(outcome: Result[bytes, Fault]) -> None:
+        def answer(outcome: Result[bytes, Error]) -> None:
             if isinstance(outcome, Success):
                 self.judge.expected[zone] = on
             then(isinstance(outcome, Success))
@@ -500,7 +502,7 @@
         """`then` is told the version that was read, None without an answer."""
         floor, made = self.judge.floor(), self.at
 
-        def answer(outcome: Result[bytes, Fault]) -> None:
+        def answer(outcome: Result[bytes, Error]) -> None:
             if isinstance(outcome, Success):
                 version = self.judge.reads(outcome.unwrap(), floor)
                 self.history.reads.append(Read(version, made / SECOND, self.at / SECOND, ip))
--- a/vetchusher/emulator/outside/platform.py
+++ b/vetchusher/emulator/outside/platform.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from urllib.parse import parse_qs, urlsplit
 
-from vetchusher.discovery.reader import Listed
+from vetchusher.discovery.reader import ListedServer
 
 from .messages import read_message
 
@@ -38,15 +38,15 @@
     now: Callable[[], float] = time.monotonic
     calls: int = 0
     # What it was told, and when; an older one goes when the next has become old enough to be shown.
-    told: deque[tuple[float, tuple[Listed, ...]]] = field(default_factory=deque)
+    told: deque[tuple[float, tuple[ListedServer, ...]]] = field(default_factory=deque)
     answered: deque[float] = field(default_factory=deque)  # times of calls in the last second
     listener: asyncio.Server | None = None
 
-    def show(self, entries: Iterable[Listed]) -> None:
+    def show(self, entries: Iterable[ListedServer]) -> None:
         """From now on these are the servers; `cold_left_ms` counts from now."""
         self.told.append((self.now(), tuple(entries)))
 
-    def listed(self) -> list[Listed]:
+    def listed(self) -> list[ListedServer]:
         """What the list says now."""
         now = self.now()
         while len(self.told) > 1 and self.told[1][0] <= now - self.lag_s:
@@ -111,7 +111,7 @@
             writer.close()
 
 
-def row(one: Listed) -> list[object]:
+def row(one: ListedServer) -> list[object]:
     """In the order of COLUMNS."""
     state = "draining" if one.draining else "available"
     told = [one.service, one.address, one.zone, one.version, one.capacity, state]
--- a/vetchusher/emulator/outside/servers.py
+++ b/vetchusher/emulator/outside/servers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from vetchusher.discovery.reader import Listed
+from vetchusher.discovery.reader import ListedServer
 from vetchusher.discovery.server import Server
 
 from .messages import read_message
@@ -67,10 +67,10 @@
         return Server(self.instance, self.service, address, self.zone, capacity=self.capacity)
 
     @property
-    def listed(self) -> Listed:
+    def listed(self) -> ListedServer:
         """As the platform's list has it."""
         row = self.row
-        return Listed(row.instance, row.service, row.address, row.zone, "v1", row.capacity, False, 0)
+        return ListedServer(row.instance, row.service, row.address, row.zone, "v1", row.capacity, False, 0)
 
     async def open(self) -> StandIn:
         self.listener = await asyncio.start_server(self.connected, self.host, self.port)
--- a/vetchusher/emulator/quota/mutations.py
+++ b/vetchusher/emulator/quota/mutations.py
@@ -10,8 +10,8 @@
 
 from vetchusher.distribution.wire_pb2 import Passed
 from vetchusher.limits import totals
-from vetchusher.limits.tally import Tally, TenantUsage
-from vetchusher.limits.totals import Holder, Pool, Source
+from vetchusher.limits.tally import LocalQuota, TenantUsage
+from vetchusher.limits.totals import QuotaCoordinator, ReportingPeer, TenantQuota
 from vetchusher.limits.windows import Pair
 
 from .judge import SECOND, Demand
@@ -31,10 +31,12 @@
 @contextmanager
 def no_number() -> Iterator[None]:
     """A push told again adds again: what the last one added is added once more."""
-    count = Holder.count
+    count = QuotaCoordinator.count
     added: dict[tuple[int, str], int] = {}
 
-    def adds(self: Holder, now: int, pool: Pool, source: Source, passed: Passed, *rest: Any) -> bool:
+    def adds(
+        self: QuotaCoordinator, now: int, pool: TenantQuota, source: ReportingPeer, passed: Passed, *rest: Any
+    ) -> bool:
         key, grant = (id(source), passed.tenant), source.grants.get(passed.tenant)
         before = grant.count if grant is not None and grant.known else passed.count
         if passed.count == before:
@@ -43,22 +45,22 @@
             added[key] = passed.count - before
         return count(self, now, pool, source, passed, *rest)
 
-    with patch.object(Holder, "count", adds):
+    with patch.object(QuotaCoordinator, "count", adds):
         yield
 
 
 @contextmanager
 def not_held_back() -> Iterator[None]:
     """Nothing is kept for those without a word: neither their firsts nor the rate of the silent."""
-    look = Holder.look
+    look = QuotaCoordinator.look
 
-    def looks(self: Holder, now: int) -> None:
+    def looks(self: QuotaCoordinator, now: int) -> None:
         look(self, now)
         self.silent = 0
 
     with (
         patch.object(totals, "reserve_of", lambda shape, ingresses: 0.0),
-        patch.object(Holder, "look", looks),
+        patch.object(QuotaCoordinator, "look", looks),
     ):
         yield
 
@@ -66,17 +68,19 @@
 @contextmanager
 def lost_total_is_nought() -> Iterator[None]:
     """A new holder begins with full stores, and takes what it is first told as long passed."""
-    count, init = Holder.count, Holder.__init__
+    count, init = QuotaCoordinator.count, QuotaCoordinator.__init__
 
-    def counts(self: Holder, now: int, pool: Pool, source: Source, passed: Passed, *rest: Any) -> bool:
+    def counts(
+        self: QuotaCoordinator, now: int, pool: TenantQuota, source: ReportingPeer, passed: Passed, *rest: Any
+    ) -> bool:
         told = Passed(tenant=passed.tenant, count=passed.count, ended=passed.ended)
         return count(self, now, pool, source, told, True, *rest[1:])
 
-    def begins(self: Holder, *args: Any) -> None:
+    def begins(self: QuotaCoordinator, *args: Any) -> None:
         init(self, *args)
         self.whole = True
 
-    with patch.object(Holder, "count", counts), patch.object(Holder, "__init__", begins):
+    with patch.object(QuotaCoordinator, "count", counts), patch.object(QuotaCoordinator, "__init__", begins):
         yield
 
 
@@ -98,16 +102,16 @@
 @contextmanager
 def parts_by_who_seems_alive() -> Iterator[None]:
     """Cut off, an ingress divides by those that it hears: itself."""
-    settle = Tally.settle
+    settle = LocalQuota.settle
 
-    def settles(self: Tally, now: int, own: TenantUsage) -> None:
+    def settles(self: LocalQuota, now: int, own: TenantUsage) -> None:
         ingresses = self.ingresses
         if now - self.answered_at > 600_000:
             self.ingresses = 1
         settle(self, now, own)
         self.ingresses = ingresses
 
-    with patch.object(Tally, "settle", settles):
+    with patch.object(LocalQuota, "settle", settles):
         yield
 
 
--- a/vetchusher/emulator/quota/ways.py
+++ b/vetchusher/emulator/quota/ways.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from vetchusher.distribution.wire_pb2 import Push
-from vetchusher.limits.tally import Tally, TenantUsage
+from vetchusher.limits.tally import LocalQuota, TenantUsage
 from vetchusher.limits.windows import Shape, shape_of
 from vetchusher.settings.configuration import Tenant
 
@@ -13,14 +13,14 @@
 from .world import Ingress, Scene, World
 
 
-class EstimateAlone(Tally):
+class EstimateAlone(LocalQuota):
     """No guard: whatever the weighted estimate lets through passes."""
 
     def settle(self, now: int, own: TenantUsage) -> None:
-        own.ceiling = own.count + own.shape.limit
+        own.limit = own.count + own.shape.limit
 
 
-class GuardAlone(Tally):
+class GuardAlone(LocalQuota):
     """No estimate: whatever the ceilings let through passes."""
 
     def limit(self, own: TenantUsage) -> float:
@@ -44,7 +44,7 @@
         return True
 
 
-class Split(Tally):
+class Split(LocalQuota):
     """Each ingress has one part in N of rate and of what the bound leaves beyond; nothing is told."""
 
     def __init__(self, node: str, life: int) -> None:
@@ -80,7 +80,7 @@
 class Central(World):
     """Each request asks one store at the holder, and waits; without an answer it is refused."""
 
-    def __init__(self, scene: Scene, make: Callable[[str, int], Tally] = Tally) -> None:
+    def __init__(self, scene: Scene, make: Callable[[str, int], LocalQuota] = LocalQuota) -> None:
         super().__init__(scene, make)
         self.stores = {n: Store(d.rate, max(1.0, d.burst), 0) for n, d in enumerate(self.scene.demands)}
         self.asks = 0
--- a/vetchusher/emulator/quota/world.py
+++ b/vetchusher/emulator/quota/world.py
@@ -14,8 +14,8 @@
 from itertools import accumulate
 
 from vetchusher.distribution.wire_pb2 import Push, Totals
-from vetchusher.limits.tally import Tally
-from vetchusher.limits.totals import Holder
+from vetchusher.limits.tally import LocalQuota
+from vetchusher.limits.totals import QuotaCoordinator
 from vetchusher.settings.configuration import Tenant
 
 from .judge import MS, SECOND, Book, Demand
@@ -58,7 +58,7 @@
     number: int
     region: int
     offset: int
-    tally: Tally | None = None
+    tally: LocalQuota | None = None
     life: int = 0
     seen: int = 0  # us: its last beat at the core
     mute: int = 0  # cuts that last, of what it sends
@@ -73,7 +73,7 @@
 class Post:
     """A holder, and where.  `alone`: with whom it is cut off from the others."""
 
-    holder: Holder
+    holder: QuotaCoordinator
     region: int
     offset: int
     answers: bool = True
@@ -83,7 +83,7 @@
 class World:
     """Owner of all ingresses and holders, and of the heap of what is to happen."""
 
-    def __init__(self, scene: Scene, make: Callable[[str, int], Tally] = Tally) -> None:
+    def __init__(self, scene: Scene, make: Callable[[str, int], LocalQuota] = LocalQuota) -> None:
         self.scene, self.make = scene, make
         self.rng = random.Random(scene.seed)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -133,7 +133,9 @@
     def take_over(self) -> None:
         self.epoch += 1
         offset = self.rng.randrange(10**10)
-        post = Post(Holder(self.epoch, self.at + offset), self.rng.randrange(self.scene.regions), offset)
+        post = Post(
+            QuotaCoordinator(self.epoch, self.at + offset), self.rng.randrange(self.scene.regions), offset
+        )
         post.holder.configure(self.at + offset, self.tenants)
         self.posts.append(post)
         self.tell_fleet(post)
@@ -197,7 +199,7 @@
     def asked(self, ingress: Ingress, life: int, post: Post, data: bytes) -> None:
         if not self.reaches(ingress, post) or ingress.mute:
             return
-        answer = post.holder.push(self.at + post.offset, Push.FromString(data)).SerializeToString()
+        answer = post.holder.on_push(self.at + post.offset, Push.FromString(data)).SerializeToString()
         self.count(answer)
         self.alarm(post)
         if self.rng.random() >= self.loss:
@@ -222,7 +224,7 @@
         if self.at < ingress.thaws:
             self.after(ingress.thaws - self.at, lambda: self.answered(ingress, life, post, data))
         elif ingress.tally is not None and ingress.life == life and self.hears(ingress, post):
-            ingress.tally.heard(ingress.now(self.at), Totals.FromString(data))
+            ingress.tally.on_totals(ingress.now(self.at), Totals.FromString(data))
 
     def count(self, data: bytes) -> None:
         self.bytes += len(data)
--- a/vetchusher/emulator/system/local.py
+++ b/vetchusher/emulator/system/local.py
@@ -314,8 +314,10 @@
         """By the logs: the running core machine that became primary last and has not said otherwise since."""
         found: list[tuple[int, Machine]] = []
         for machine in self.core:
-            said = re.findall(rf" ({Event.PRIMARY:d}|{Event.PRIMARY_NO_MORE:d}) \w+ epoch=(\d+)", machine.log)
-            if machine.running and said and int(said[-1][0]) == Event.PRIMARY:
+            said = re.findall(
+                rf" ({Event.BECAME_PRIMARY:d}|{Event.STEPPED_DOWN:d}) \w+ epoch=(\d+)", machine.log
+            )
+            if machine.running and said and int(said[-1][0]) == Event.BECAME_PRIMARY:
                 found.append((int(said[-1][1]), machine))
         return max(found, key=lambda one: one[0])[1] if found else None
 
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -14,29 +14,29 @@
 from vetchusher.control import state as control_state
 from vetchusher.discovery import reader
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import NEVER, Source, Told
-from vetchusher.distribution.subscriber import Contact, Send, SendPull, Subscriber
-from vetchusher.kinds import Fault, Kind
-from vetchusher.limits.tally import Tally
+from vetchusher.distribution.source import ZERO_STAMP, Source, SourceUpdate
+from vetchusher.distribution.subscriber import Contact, SendPull, Subscriber, SubscriberOutput
+from vetchusher.errors import Error, ErrorCode
+from vetchusher.limits.tally import LocalQuota
 from vetchusher.limits.tries import ExtraTries
 from vetchusher.node import control_node, edge_node, operator_api, proxy
 from vetchusher.routing import choice, claims, headers, request
 
 from . import world
 
-REAL_MERGE, REAL_PLACE = Source.merge, choice.Choice._place
+REAL_MERGE, REAL_PLACE = Source.apply, choice.Choice._place
 REAL_HOLDER_OF = control_node.ControlNode.holder_of
 REAL_OVER = proxy.Flow.over
 REAL_EVACUATED = control_state.apply_evacuation
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
-REAL_IN_FORCE = Subscriber._in_force
+REAL_IN_FORCE = Subscriber._on_in_force_reply
 LONG = 1 << 61
 
 
-def takes_any_news(self: Source, told: Told) -> bool:
+def takes_any_news(self: Source, told: SourceUpdate) -> bool:
     """Older or not."""
-    if told.whole:
-        self.stamp, self.rows, self.gone = NEVER, {}, {}
+    if told.is_snapshot:
+        self.stamp, self.rows, self.removed = ZERO_STAMP, {}, {}
     return REAL_MERGE(self, told)
 
 
@@ -45,13 +45,15 @@
     REAL_CONFIGURED(self, now)
 
 
-def pulls_whatever_differs(self: Subscriber, now: int, ip: str, vector: Any) -> list[Send]:
-    if self.pulling is not None or all(vector.get(n, NEVER) == led.stamp for n, led in self.sources.items()):
+def pulls_whatever_differs(self: Subscriber, now: int, ip: str, vector: Any) -> list[SubscriberOutput]:
+    if self.pull_in_flight is not None or all(
+        vector.get(n, ZERO_STAMP) == led.stamp for n, led in self.sources.items()
+    ):
         return []
-    self.pulls += 1
-    self.pulling = (self.pulls, ip, now)
+    self.last_pull_number += 1
+    self.pull_in_flight = (self.last_pull_number, ip, now)
     nothing = [wire.SourceAt(source=name) for name in self.sources]
-    return [SendPull(ip, self.pulls, wire.Pull(vector=nothing))]
+    return [SendPull(ip, self.last_pull_number, wire.Pull(vector=nothing))]
 
 
 def evacuates_at_any_time(state: wire.ControlState, order: EvacuationOrder) -> Any:
@@ -68,7 +70,7 @@
 
 
 def holds_totals_anew(self: control_node.ControlNode, epoch: int, now: int) -> Any:
-    self.resting = None
+    self.paused_quota_coordinator = None
     return REAL_HOLDER_OF(self, epoch, now)
 
 
@@ -80,15 +82,15 @@
             regions.setdefault(standing.region, []).append(standing)
 
 
-def refused_for_good(self: control_node.ControlNode, zone: str) -> Result[Any, Fault]:
-    return Failure(Fault(Kind.NOT_FOUND, zone))
+def refused_for_good(self: control_node.ControlNode, zone: str) -> Result[Any, Error]:
+    return Failure(Error(ErrorCode.NOT_FOUND, zone))
 
 
 def takes_any_vector(
     self: Subscriber, contact: Contact, sent_at: int, answer: wire.HeartbeatReply, vector: Any
 ) -> None:
-    contact.in_force = {}
-    REAL_IN_FORCE(self, contact, max(sent_at, contact.in_force_at), answer, vector)
+    contact.in_force_vector = {}
+    REAL_IN_FORCE(self, contact, max(sent_at, contact.last_in_force_at), answer, vector)
 
 
 def fresh_for_good(self: proxy.Proxy, until: int) -> None:
@@ -101,7 +103,11 @@
         (request, "what_next", lambda seen, repeatable: claims.what_next(seen, True)),
     ),
     "what may have run is promised not to": (
-        (request.Request, "_give_up", lambda self, now: self._refuse(Kind.NEVER_RAN, "no server took it")),
+        (
+            request.Request,
+            "_give_up",
+            lambda self, now: self._refuse(ErrorCode.NOT_EXECUTED, "no server took it"),
+        ),
     ),
     "a cold server's new owner does not wait": ((reader, "KEPT_WAIT_US", 0),),
     "a cold owner has no lease": ((edge_node, "KEPT_LEASE_US", 1 << 61),),
@@ -109,15 +115,15 @@
         (choice.Choice, "_is_cold", lambda self, now, standing: False),
     ),
     "an ingress takes older news": (
-        (Source, "merge", takes_any_news),
-        (Subscriber, "_pull", pulls_whatever_differs),
+        (Source, "apply", takes_any_news),
+        (Subscriber, "_pull_if_behind", pulls_whatever_differs),
         (edge_node.EdgeNode, "configuration_came", takes_any_version),
     ),
-    "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Fault(kind, text)),),
+    "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Error(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
     "totals begin anew with a regained lease": ((control_node.ControlNode, "holder_of", holds_totals_anew),),
-    "quotas are not judged": ((Tally, "admit", lambda self, now, tenant: True),),
+    "quotas are not judged": ((LocalQuota, "admit", lambda self, now, tenant: True),),
     "answers are not told by their ids": ((proxy.Flow, "over", takes_the_answer_before),),
     "keys go along to servers": (
         (request, "passed_on", lambda given, keyed: headers.passed_on(given, keyed=False)),
@@ -125,15 +131,15 @@
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
     "a reading leaves whatever came meanwhile": (
-        (operator_api.Backed, "leaving", lambda self: self.outcome),
+        (operator_api.GuardedOutcome, "checked_at_send", lambda self: self.outcome),
     ),
     "a reading passed on has no age": ((control_node, "PASSED_READING_US", LONG),),
     "a refusal drawn from old settings": ((control_node.ControlNode, "no_zone", refused_for_good),),
     "a directory's answer has no age": ((control_node, "NAMED_US", LONG),),
     "messages leave however late": ((control_node, "LATE_SEND_US", LONG),),
-    "a late vector lowers what was told": ((Subscriber, "_in_force", takes_any_vector),),
+    "a late vector lowers what was told": ((Subscriber, "_on_in_force_reply", takes_any_vector),),
     "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
-    "a cut-off machine vouches": ((control_node.ControlNode, "in_force", lambda self, now: True),),
+    "a cut-off machine vouches": ((control_node.ControlNode, "is_in_force", lambda self, now: True),),
     "an order of evacuation bears no number": ((control_state, "apply_evacuation", evacuates_at_any_time),),
     "what was held up is passed on": ((control_node, "OVERTAKEN_US", 1 << 61),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
--- a/vetchusher/emulator/system/scenarios.py
+++ b/vetchusher/emulator/system/scenarios.py
@@ -22,7 +22,7 @@
 from returns.result import Failure, Result
 
 from vetchusher.emulator.fleet_world import MS, SECOND
-from vetchusher.kinds import Fault
+from vetchusher.errors import Error
 from vetchusher.node import operator_api
 
 from .world import COLD_S, Scene, World, version_of
@@ -35,7 +35,7 @@
     "unknown zone": operator_api.InitiateEvacuation("nowhere"),
     "evacuates": operator_api.InitiateEvacuation("delta-b"),
     "returns": operator_api.TerminateEvacuation("delta-b"),
-    "resolves": operator_api.AskResolution("", "gulf", ""),
+    "resolves": operator_api.ResolveAddresses("", "gulf", ""),
 }
 
 
@@ -90,11 +90,11 @@
     operator: list[str]
 
 
-def answer_of(outcome: Result[operator_api.Answer, Fault]) -> str:
+def answer_of(outcome: Result[operator_api.Answer, Error]) -> str:
     if isinstance(outcome, Failure):
         return str(outcome.failure().status)
     answer = outcome.unwrap()
-    return f"r{version_of(answer)}" if isinstance(answer, operator_api.Retrieved) else "200"
+    return f"r{version_of(answer)}" if isinstance(answer, operator_api.ConfigurationRetrieved) else "200"
 
 
 def several(cell: str) -> list[str]:
@@ -196,7 +196,7 @@
         call, stops, _ = what.partition(" stops")
         name = self.machine(who)
 
-        def told(outcome: Result[operator_api.Answer, Fault]) -> None:
+        def told(outcome: Result[operator_api.Answer, Error]) -> None:
             self.unanswered.remove(cell)
             if answer_of(outcome) not in expected.split():
                 self.world.judge.say("STORY", f"{asked} was answered {answer_of(outcome)}, not {expected}")
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -11,9 +11,9 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.emulator.fleet_world import MS
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.node.attempts import Got, Matter, Report
-from vetchusher.node.platform import Platform
+from vetchusher.node.platform import ServerListClient
 from vetchusher.routing.claims import Seen
 from vetchusher.routing.request import Send
 
@@ -99,19 +99,19 @@
         return Place(server.instance, server.service, server.zone, server.region, cold, server.left_at)
 
 
-class Listing(Platform):
+class Listing(ServerListClient):
     """The platform as a core machine reaches it."""
 
     def __init__(self, servers: Servers) -> None:
         super().__init__(None)
         self.servers = servers
 
-    async def page(self, token: str | None) -> Result[bytes, Fault]:
+    async def page(self, token: str | None) -> Result[bytes, Error]:
         raw = self.servers.listed()
         await asyncio.sleep(0.02)
         if self.servers.silent_platform:
             await asyncio.sleep(1.0)
-            return Failure(Fault(Kind.BAD_MESSAGE, "the list: no answer"))
+            return Failure(Error(ErrorCode.INVALID_MESSAGE, "the list: no answer"))
         return Success(raw)
 
 
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -21,15 +21,15 @@
 from vetchusher.control import PersistentState
 from vetchusher.control.stored_rows import ScanResult, StoredCopy
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import NEVER, Source
+from vetchusher.distribution.source import ZERO_STAMP, Source
 from vetchusher.emulator.fleet_world import MS, SECOND
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import LogEvent
-from vetchusher.kinds import Fault, Kind
 from vetchusher.node import operator_api
 from vetchusher.node.attempts import Got, Matter
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import Paths
+from vetchusher.node.paths import PeerNetwork
 from vetchusher.node.proxy import Flow
 from vetchusher.routing.request import Head, judge
 from vetchusher.settings.node import Bounds, Listen, NodeSettings
@@ -95,9 +95,9 @@
     part: ControlNode | EdgeNode | None = None
     calm: Calm = field(default_factory=Calm)
 
-    def save(self, kept: PersistentState) -> Result[None, Fault]:
+    def save(self, kept: PersistentState) -> Result[None, Error]:
         if self.loop is not None and self.loop.disk_refuses:
-            return Failure(Fault(Kind.BAD_STORE, "the disk refuses"))
+            return Failure(Error(ErrorCode.STORAGE_ERROR, "the disk refuses"))
         self.disk = kept
         return Success(None)
 
@@ -111,17 +111,17 @@
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
 
-    def load(self, sources: dict[str, Source]) -> Result[list[str], Fault]:
+    def load(self, sources: dict[str, Source]) -> Result[list[str], Error]:
         told = {name: wire.SourceNews.FromString(raw) for name, raw in self.machine.snapshots.items()}
-        return Success([name for name, news in told.items() if sources[name].take(news)])
+        return Success([name for name, news in told.items() if sources[name].apply_message(news)])
 
-    def save(self, news: wire.SourceNews) -> Result[None, Fault]:
+    def save(self, news: wire.SourceNews) -> Result[None, Error]:
         kept = Source(news.source)
         if not news.whole:
-            kept.take(wire.SourceNews.FromString(self.machine.snapshots[news.source]))
-        if not kept.take(news):
-            return Failure(Fault(Kind.BAD_STORE, f"news of {news.source} leave something out"))
-        raw = kept.since(NEVER)
+            kept.apply_message(wire.SourceNews.FromString(self.machine.snapshots[news.source]))
+        if not kept.apply_message(news):
+            return Failure(Error(ErrorCode.STORAGE_ERROR, f"news of {news.source} leave something out"))
+        raw = kept.update_since(ZERO_STAMP)
         self.machine.snapshots[news.source] = raw.SerializeToString() if raw is not None else b""
         return Success(None)
 
@@ -166,7 +166,7 @@
 
 
 def version_of(answer: operator_api.Answer) -> int:
-    assert isinstance(answer, operator_api.Retrieved)
+    assert isinstance(answer, operator_api.ConfigurationRetrieved)
     return int(json.loads(answer.body)["version"][1:])
 
 
@@ -273,7 +273,7 @@
     def begin(self, machine: Machine, loop: ProcessLoop, first: bool) -> None:
         node = self.settings(machine, first)
         rng = random.Random(self.rng.randrange(1 << 40))
-        paths = Paths(
+        paths = PeerNetwork(
             loop, machine.ip, machine.zone, PORT, lambda frame, way: part.serve(frame, way), self.note
         )
 
@@ -286,7 +286,7 @@
             part = ControlNode(
                 loop, node, paths, cast(Any, machine), machine.disk, snapshots, rng, now, self.note
             )
-            part.platform = Listing(self.servers)
+            part.server_list_client = Listing(self.servers)
         else:
             part = EdgeNode(loop, node, paths, rng, now, self.note)
             part.front.tries.session.detach()
@@ -339,7 +339,7 @@
         if loop is not None and loop.alive and part is not None:
             for calm in self.calm_of(name):
                 calm.hit(self.clock.at)
-            loop.call_soon(part.leave)
+            loop.call_soon(part.begin_shut_down)
             life = machine.incarnation
             grace = int(BOUNDS.grace_s * SECOND)
             self.clock.after(grace, lambda: self.end(name, False) if machine.incarnation == life else None)
@@ -354,7 +354,7 @@
         """Who leads, by its own word."""
         for machine in self.cores:
             part, loop = machine.part, machine.loop
-            if isinstance(part, ControlNode) and loop is not None and part.member.is_leader(part.now()):
+            if isinstance(part, ControlNode) and loop is not None and part.replica.is_leader(part.now()):
                 return machine.name
         return ""
 
@@ -380,7 +380,7 @@
             machine = self.rng.choice(self.cores)
             part, loop = machine.part, machine.loop
             if isinstance(part, ControlNode) and loop is not None and not loop.frozen:
-                names = part.presence.name(part.now(), region, "")
+                names = part.presence.resolve(part.now(), region, "")
                 named = [one.node for one in part.presence.ingresses.values() if one.front in names]
                 if named:
                     self.named[region] = named
@@ -462,7 +462,7 @@
         machine = self.rng.choice(running) if running else None
         open_ = [True]
 
-        def settled(outcome: Result[operator_api.Answer, Fault] | None) -> None:
+        def settled(outcome: Result[operator_api.Answer, Error] | None) -> None:
             if not open_[0]:
                 return
             open_[0] = False
@@ -479,8 +479,8 @@
         assert isinstance(part, ControlNode)
 
         async def settle() -> None:
-            outcome = await part.settle(call)
-            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            outcome = await part.execute(call)
+            told = outcome.checked_at_send() if isinstance(outcome, operator_api.GuardedOutcome) else outcome
             self.clock.after(MS, lambda: settled(told))
 
         loop.call_soon(lambda: loop.create_task(settle()))
@@ -489,7 +489,7 @@
         self,
         name: str,
         call: operator_api.Call,
-        then: Callable[[Result[operator_api.Answer, Fault]], None],
+        then: Callable[[Result[operator_api.Answer, Error]], None],
         stands_still: int = 0,
     ) -> None:
         """At one core machine, by a caller who waits as long as it takes.
@@ -502,14 +502,14 @@
         assert loop is not None and isinstance(part, ControlNode)
 
         async def settle() -> None:
-            outcome = await part.settle(call)
+            outcome = await part.execute(call)
             if stands_still:
                 self.freeze(name, True)
                 self.clock.after(stands_still, lambda: self.freeze(name, False))
                 await asyncio.sleep(0)
-            told = outcome.leaving() if isinstance(outcome, operator_api.Backed) else outcome
+            told = outcome.checked_at_send() if isinstance(outcome, operator_api.GuardedOutcome) else outcome
             self.judge.at = self.clock.at
-            if isinstance(told, Success) and isinstance(told.unwrap(), operator_api.Retrieved):
+            if isinstance(told, Success) and isinstance(told.unwrap(), operator_api.ConfigurationRetrieved):
                 self.judge.read_out(name, version_of(told.unwrap()))
             then(told)
 
@@ -555,7 +555,7 @@
         self.judge.read_back(came[0] if came else None, asked_at)
         part = self.machines[self.primary()].part if self.primary() else None
         if isinstance(part, ControlNode):
-            self.judge.evacuations({one.zone: one.on for one in part.member.committed.evacuations})
+            self.judge.evacuations({one.zone: one.on for one in part.replica.committed.evacuations})
 
     # -- a run -----------------------------------------------------------------------------------
 
--- a/vetchusher/limits/tally.py
+++ b/vetchusher/limits/tally.py
@@ -45,7 +45,7 @@
 
     shape: Shape
     count: int
-    ceiling: float
+    limit: float
     part_at: int
     until: int = NEVER
     named: int = 0
@@ -71,12 +71,14 @@
     counts: dict[str, tuple[int, bool]]
 
 
-class Tally:
+class LocalQuota:
     """Owner of one `TenantUsage` for each tenant with a quota in the configuration."""
 
-    def __init__(self, node: str, life: int, sync_us: int = 150_000, bounds: Bounds | None = None) -> None:
+    def __init__(
+        self, node: str, incarnation: int, sync_us: int = 150_000, bounds: Bounds | None = None
+    ) -> None:
         self.node = node
-        self.life = life
+        self.incarnation = incarnation
         self.sync_us = sync_us
         self.bounds = bounds or Bounds()
         self.own: dict[str, TenantUsage] = {}
@@ -113,8 +115,8 @@
                 own.pair = Pair((now + self.clock.offset) // shape.length_us, own.count)
                 self.begin(now, own)
             elif own.shape != shape:
-                left = max(0.0, own.ceiling - own.count)
-                own.ceiling = own.count + left * min(1.0, shape.depth / own.shape.depth)
+                left = max(0.0, own.limit - own.count)
+                own.limit = own.count + left * min(1.0, shape.depth / own.shape.depth)
                 if shape.length_us != own.shape.length_us:
                     own.pair.move((now + self.clock.offset) // shape.length_us)
                 own.shape = shape
@@ -136,7 +138,7 @@
     def begin(self, now: int, own: TenantUsage) -> None:
         """A first allowance, before any total."""
         if self.named_at != NEVER and self.answered_at == NEVER and own.until <= now:
-            own.ceiling, own.part_at = own.count + first_allowance(own.shape, self.ingresses), now
+            own.limit, own.part_at = own.count + first_allowance(own.shape, self.ingresses), now
 
     def admit(self, now: int, tenant: str) -> bool:
         own = self.own.get(tenant)
@@ -152,7 +154,7 @@
             return False
         self.settle(now, own)
         alone = now - max(self.answered_at, self.named_at) > ALONE_US
-        if own.ceiling - own.count < 1.0 or alone:
+        if own.limit - own.count < 1.0 or alone:
             own.wanted = True
             self.by_ceiling += 1
             return False
@@ -180,12 +182,12 @@
         if in_touch and own.named != self.heard_number:
             # In touch, and the tenant is not short: what is kept back, anew once all is told.
             if own.acked == own.count:
-                own.ceiling, own.part_at = own.count + first_allowance(own.shape, self.ingresses), now
+                own.limit, own.part_at = own.count + first_allowance(own.shape, self.ingresses), now
             return
         # Danger: cut off from the totals, all ingresses together must stay within the quota.
         part = cut_off_share(own.shape, self.ingresses)
         grown = own.shape.gained(now - max(own.part_at, own.until)) / max(1, self.ingresses)
-        own.ceiling = own.count + min(part, own.ceiling - own.count + grown * (self.ingresses > 0))
+        own.limit = own.count + min(part, own.limit - own.count + grown * (self.ingresses > 0))
         own.part_at = now
 
     def push(self, now: int) -> Push | None:
@@ -220,7 +222,7 @@
             del self.sent[next(iter(self.sent))]
         return Push(
             node=self.node,
-            life=self.life,
+            life=self.incarnation,
             number=self.number,
             passed=passed,
             holder=self.holder,
@@ -228,7 +230,7 @@
             heard=self.heard_number,
         )
 
-    def heard(self, now: int, totals: Totals) -> None:
+    def on_totals(self, now: int, totals: Totals) -> None:
         sent = self.sent.pop(totals.number, None)
         if sent is None or totals.life < self.holder or totals.number < self.heard_number:
             return
@@ -282,9 +284,9 @@
             own = self.own.get(total.tenant)
             if own is not None:
                 own.alarmed = totals.now_us
-                own.ceiling, own.part_at = min(own.ceiling, own.count), now
+                own.limit, own.part_at = min(own.limit, own.count), now
 
-    def standing(self, now: int) -> dict[str, object] | None:
+    def log_fields(self, now: int) -> dict[str, object] | None:
         """Where it has changed whether whole totals come: figures for the log, and what a part then is."""
         whole = now - self.whole_at < STALE_US
         if whole == self.stood:
@@ -310,7 +312,7 @@
             self.settle(now, own)
 
     def take(self, own: TenantUsage, total: Total, sent_at: int) -> None:
-        own.ceiling, own.until, own.part_at = float(total.ceiling), sent_at + STALE_US, sent_at
+        own.limit, own.until, own.part_at = float(total.ceiling), sent_at + STALE_US, sent_at
         own.named = self.heard_number
         own.low, own.low_at = float(total.level), sent_at
 
@@ -321,5 +323,5 @@
             return 0
         wait = int((self.used(now, own) + 1.0 - self.limit(own)) / own.shape.rate * 1e6)
         if now >= own.until and now - self.whole_at >= STALE_US and self.ingresses:
-            wait = max(wait, int((1.0 - own.ceiling + own.count) * self.ingresses / own.shape.rate * 1e6))
+            wait = max(wait, int((1.0 - own.limit + own.count) * self.ingresses / own.shape.rate * 1e6))
         return min(COME_BACK_US, max(self.sync_us, wait))
--- a/vetchusher/limits/totals.py
+++ b/vetchusher/limits/totals.py
@@ -35,14 +35,14 @@
 
 
 @dataclass(slots=True)
-class Grant:
+class QuotaGrant:
     """What one life of an ingress has reported to have passed for one tenant, and what it may pass.
 
     :param used: requests lately, each counting less with time
     """
 
     count: int
-    ceiling: int
+    limit: int
     known: bool = True  # false: it has reported nothing yet
     until: int = NEVER  # us until which the ceiling holds
     told: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed answers, each with its ceiling
@@ -50,7 +50,7 @@
     used_at: int = 0
 
     def left(self) -> int:
-        return max(0, self.ceiling - self.count)
+        return max(0, self.limit - self.count)
 
     def raise_or_lower(self, number: int, ceiling: int) -> None:
         """Danger: an answer may be lost, so the highest of those that may be in force counts."""
@@ -58,32 +58,32 @@
             (_, first), (number_kept, second) = self.told[:2]
             self.told[:2] = [(number_kept, max(first, second))]
         self.told.append((number, ceiling))
-        self.ceiling = max(told for _, told in self.told)
+        self.limit = max(told for _, told in self.told)
 
     def confirm(self, number: int) -> None:
         """The ingress has taken that answer: older ceilings no longer hold."""
         for place, (told, _) in enumerate(self.told):
             if told == number:
                 del self.told[:place]
-                self.ceiling = max(told for _, told in self.told)
+                self.limit = max(told for _, told in self.told)
                 return
 
 
 @dataclass(slots=True)
-class Source:
+class ReportingPeer:
     """One life of an ingress."""
 
     node: str
-    life: int
-    heard_at: int
+    incarnation: int
+    last_contact_at: int
     told: bool = False  # it knows this holder: its first counts are all here
     kept: float = 0.0  # us of silence for which its part of the rates was kept back
-    grants: dict[str, Grant] = field(default_factory=dict)
+    grants: dict[str, QuotaGrant] = field(default_factory=dict)
     unsure: set[str] = field(default_factory=set)  # tenants with more than one ceiling that may be in force
 
 
 @dataclass(slots=True)
-class Pool:
+class TenantQuota:
     """One tenant's quota.
 
     :param level: of the store; below 0: passed ahead
@@ -103,7 +103,7 @@
     low_at: int = 0
     tight: bool = False
     tight_at: int = NEVER
-    ends: deque[tuple[int, Source, Grant]] = field(default_factory=deque)
+    ends: deque[tuple[int, ReportingPeer, QuotaGrant]] = field(default_factory=deque)
     windows: Counts = field(default_factory=Counts)
 
 
@@ -111,19 +111,19 @@
     return used * math.exp(-since_us / SHARE_US)
 
 
-class Holder:
+class QuotaCoordinator:
     """Owner of a `Pool` for each tenant with a quota in the configuration, and of a `Source` for each life of
     an ingress that may be serving: gone from there, gone from here.
 
     :param life: grows with each holder: its epoch
     """
 
-    def __init__(self, life: int, now: int, bounds: Bounds | None = None) -> None:
-        self.life = life
+    def __init__(self, epoch: int, now: int, bounds: Bounds | None = None) -> None:
+        self.epoch = epoch
         self.born = now
         self.bounds = bounds or Bounds()
-        self.pools: dict[str, Pool] = {}
-        self.sources: dict[str, list[Source]] = {}  # by node, the newest life last
+        self.tenants: dict[str, TenantQuota] = {}
+        self.peers: dict[str, list[ReportingPeer]] = {}  # by node, the newest life last
         self.nodes: set[str] = set()
         self.ingresses = 1  # that may be serving: those of `nodes` and `sources` together, at least one
         self.whole = False
@@ -135,42 +135,42 @@
 
     def configure(self, now: int, tenants: Mapping[str, Tenant]) -> None:
         self.configured += 1
-        old, self.pools = self.pools, {}
+        old, self.tenants = self.tenants, {}
         for name, tenant in tenants.items():
             shape = shape_of(tenant.rate_per_s, tenant.burst_size, self.bounds)
             if shape is None:
                 continue
             pool = old.get(name)
             if pool is None:
-                pool = Pool(shape, shape.depth, now)
+                pool = TenantQuota(shape, shape.depth, now)
             else:
                 self.refill(now, pool)
                 pool.shape, pool.level = shape, min(pool.level, shape.depth)
-            self.pools[name] = pool
+            self.tenants[name] = pool
         for source in self.each_source():
-            for name in [n for n in source.grants if n not in self.pools]:
+            for name in [n for n in source.grants if n not in self.tenants]:
                 del source.grants[name]
 
-    def each_source(self) -> Iterator[Source]:
-        return (source for lives in self.sources.values() for source in lives)
+    def each_source(self) -> Iterator[ReportingPeer]:
+        return (source for lives in self.peers.values() for source in lives)
 
     def fleet(self, now: int, nodes: Mapping[str, int]) -> None:
         """:param nodes: ingresses that may be serving, by name, with us when each was last heard"""
-        for pool in self.pools.values():
+        for pool in self.tenants.values():
             self.refill(now, pool)
         self.nodes = set(nodes)
-        for node in [n for n, lives in self.sources.items() if n not in self.nodes]:
-            if now - self.sources[node][-1].heard_at > GONE_US:
-                for source in self.sources.pop(node):
+        for node in [n for n, lives in self.peers.items() if n not in self.nodes]:
+            if now - self.peers[node][-1].last_contact_at > GONE_US:
+                for source in self.peers.pop(node):
                     self.forget(now, source)
         self.count_ingresses()
         self.look(now)
 
     def count_ingresses(self) -> None:
         """After each change of `nodes` or `sources`: a push reads the count several times for each tenant."""
-        self.ingresses = max(1, len(self.nodes | self.sources.keys()))
+        self.ingresses = max(1, len(self.nodes | self.peers.keys()))
 
-    def standing(self) -> dict[str, object] | None:
+    def log_fields(self) -> dict[str, object] | None:
         """What the bound stands on, where that has changed: figures for the log.
 
         `bound`: most that any tenant may pass in a window, as a part of what the rule allows; `thin`: tenants
@@ -180,7 +180,7 @@
             self.whole,
             self.ingresses,
             self.silent > 0,
-            tuple(pool.shape for pool in self.pools.values()),
+            tuple(pool.shape for pool in self.tenants.values()),
         )
         if stands == self.stood:
             return None
@@ -200,14 +200,14 @@
     def look(self, now: int) -> None:
         """Count the silent.  Danger: what they pass meanwhile is not heard; their parts are kept back."""
         self.looked_at = now
-        heard = [lives[-1] for lives in self.sources.values()]
-        unheard = len(self.nodes - self.sources.keys())
-        self.silent = unheard + sum(now - source.heard_at > SILENT_US for source in heard)
+        heard = [lives[-1] for lives in self.peers.values()]
+        unheard = len(self.nodes - self.peers.keys())
+        self.silent = unheard + sum(now - source.last_contact_at > SILENT_US for source in heard)
         if not self.whole and self.nodes:
             told = not unheard and all(s.told for s in heard if s.node in self.nodes)
             if told or now - self.born >= WHOLE_US:
                 self.whole = True
-                for pool in self.pools.values():
+                for pool in self.tenants.values():
                     # Danger: what the unheard passed before is not known either.
                     self.refill(now, pool)
                     pool.level -= pool.shape.depth * unheard / self.ingresses
@@ -215,7 +215,7 @@
                     left = max(pool.low, -pool.shape.ahead) + pool.shape.gained(now - pool.low_at)
                     pool.level = min(pool.level, left) if pool.low < 0.0 else pool.level
 
-    def refill(self, now: int, pool: Pool) -> None:
+    def refill(self, now: int, pool: TenantQuota) -> None:
         """Bring a pool up to date: its store, and ceilings that have run out."""
         speaking = 1.0 - self.silent / self.ingresses
         pool.level = min(pool.shape.depth, pool.level + pool.shape.gained(now - pool.at) * speaking)
@@ -225,43 +225,43 @@
             if grant.until == until:
                 self.end(now, pool, source, grant)
 
-    def end(self, now: int, pool: Pool, source: Source, grant: Grant) -> None:
+    def end(self, now: int, pool: TenantQuota, source: ReportingPeer, grant: QuotaGrant) -> None:
         pool.active -= 1
         pool.out -= grant.left()
         grant.until = NEVER
-        if now - source.heard_at > SILENT_US or source is not self.sources[source.node][-1]:
+        if now - source.last_contact_at > SILENT_US or source is not self.peers[source.node][-1]:
             # Danger: whoever says nothing, or was killed, may have passed all that it had been given.
             pool.level -= grant.left()
-            grant.count = max(grant.count, grant.ceiling)
+            grant.count = max(grant.count, grant.limit)
 
-    def free(self, pool: Pool) -> float:
+    def free(self, pool: TenantQuota) -> float:
         """What is neither granted nor reserved for ingresses without a grant."""
         idle = max(0, self.ingresses - pool.active) / self.ingresses
         return pool.level + pool.shape.ahead - pool.out - idle * reserve_of(pool.shape, self.ingresses)
 
     # -- pushes -----------------------------------------------------------------------
 
-    def push(self, now: int, push: Push) -> Totals:
+    def on_push(self, now: int, push: Push) -> Totals:
         source = self.source_of(now, push)
-        source.told = source.told or push.holder == self.life
+        source.told = source.told or push.holder == self.epoch
         if now - self.looked_at >= LOOK_US or not self.whole:
             self.look(now)
         asked = []
         for passed in push.passed:
-            pool = self.pools.get(passed.tenant)
+            pool = self.tenants.get(passed.tenant)
             if pool is not None:
                 self.refill(now, pool)
-                knows = push.holder == self.life
+                knows = push.holder == self.epoch
                 if self.count(now, pool, source, passed, knows, push.at_us if knows else now):
                     asked.append(passed.tenant)
         source.kept = 0.0
         self.confirm(source, push.heard)
         return self.answer(now, push, source, asked)
 
-    def confirm(self, source: Source, number: int) -> None:
+    def confirm(self, source: ReportingPeer, number: int) -> None:
         """The ingress has taken that answer: ceilings of older ones no longer hold."""
         for name in list(source.unsure):
-            pool, grant = self.pools.get(name), source.grants.get(name)
+            pool, grant = self.tenants.get(name), source.grants.get(name)
             if pool is not None and grant is not None and grant.until > NEVER:
                 pool.out -= grant.left()
                 grant.confirm(number)
@@ -269,46 +269,48 @@
             if grant is None or len(grant.told) < 2:
                 source.unsure.discard(name)
 
-    def answer(self, now: int, push: Push, source: Source, asked: list[str]) -> Totals:
+    def answer(self, now: int, push: Push, source: ReportingPeer, asked: list[str]) -> Totals:
         """Totals and grants: for the tenants pushed, and for every one that is tight."""
-        answer = Totals(number=push.number, life=self.life, whole=self.whole, ingresses=self.ingresses)
+        answer = Totals(number=push.number, life=self.epoch, whole=self.whole, ingresses=self.ingresses)
         answer.silent, answer.now_us = self.silent, now
-        if self.whole and source is self.sources[source.node][-1]:
+        if self.whole and source is self.peers[source.node][-1]:
             named = set(asked)
             answer.totals.extend(self.grant(now, name, source, True, push.number) for name in asked)
-            for name, pool in self.pools.items():
+            for name, pool in self.tenants.items():
                 if name not in named and self.is_tight(now, name, pool):
                     answer.totals.append(self.grant(now, name, source, False, push.number))
         return answer
 
-    def source_of(self, now: int, push: Push) -> Source:
-        if push.node not in self.sources:
-            self.sources[push.node] = []
+    def source_of(self, now: int, push: Push) -> ReportingPeer:
+        if push.node not in self.peers:
+            self.peers[push.node] = []
             self.count_ingresses()
-        lives = self.sources[push.node]
-        source = next((s for s in lives if s.life == push.life), None)
+        lives = self.peers[push.node]
+        source = next((s for s in lives if s.incarnation == push.life), None)
         if source is None:
-            source = Source(push.node, push.life, now)
+            source = ReportingPeer(push.node, push.life, now)
             lives.append(source)
             if len(lives) > MOST_LIVES:
                 self.forget(now, lives.pop(0))
-        quiet = now - source.heard_at - SILENT_US
+        quiet = now - source.last_contact_at - SILENT_US
         if quiet > 0:
             source.kept += quiet
-        source.heard_at = now
+        source.last_contact_at = now
         return source
 
-    def forget(self, now: int, source: Source) -> None:
+    def forget(self, now: int, source: ReportingPeer) -> None:
         """A life whose record goes: what it may still pass is taken as passed."""
         for name, grant in source.grants.items():
-            pool = self.pools.get(name)
+            pool = self.tenants.get(name)
             if pool is not None and grant.until > NEVER:
                 pool.active -= 1
                 pool.out -= grant.left()
                 pool.level -= grant.left()
                 grant.until = NEVER
 
-    def count(self, now: int, pool: Pool, source: Source, passed: Passed, knows: bool, at: int) -> bool:
+    def count(
+        self, now: int, pool: TenantQuota, source: ReportingPeer, passed: Passed, knows: bool, at: int
+    ) -> bool:
         """Add what is new in a running count.
 
         :param at: us on this clock when it was told: which windows are meant
@@ -328,7 +330,7 @@
                 # Danger: a tenant that left the configuration and came back counts on from a higher place.
                 new = min(new, told)
         if grant is None:
-            grant = source.grants[passed.tenant] = Grant(passed.count, 0, used_at=now)
+            grant = source.grants[passed.tenant] = QuotaGrant(passed.count, 0, used_at=now)
         else:
             pool.out -= grant.left() if grant.until > NEVER else 0
             grant.count, grant.known = max(grant.count, passed.count), True
@@ -346,7 +348,7 @@
         grant.used_at = pool.used_at = now
         return True
 
-    def is_tight(self, now: int, name: str, pool: Pool) -> bool:
+    def is_tight(self, now: int, name: str, pool: TenantQuota) -> bool:
         """Whether too little is left to let ingresses pass requests without a grant."""
         self.refill(now, pool)
         kept = reserve_of(pool.shape, self.ingresses)
@@ -366,18 +368,18 @@
         """To all ingresses, unasked: tenants of whom nothing passes without a grant."""
         if not self.alarms:
             return None
-        told = Totals(life=self.life, now_us=now, totals=[Total(tenant=name) for name in self.alarms])
+        told = Totals(life=self.epoch, now_us=now, totals=[Total(tenant=name) for name in self.alarms])
         self.alarms.clear()
         return told
 
-    def grant(self, now: int, name: str, source: Source, asked: bool, number: int) -> Total:
+    def grant(self, now: int, name: str, source: ReportingPeer, asked: bool, number: int) -> Total:
         """What a source may pass of a tenant, as a ceiling on its running count."""
-        pool = self.pools[name]
+        pool = self.tenants[name]
         tight = self.is_tight(now, name, pool)
         grant = source.grants.get(name)
         if grant is None:
             # A ceiling below any count.
-            grant = source.grants[name] = Grant(0, 0, known=False, used_at=now)
+            grant = source.grants[name] = QuotaGrant(0, 0, known=False, used_at=now)
         may = self.share(pool, grant, now, asked)
         if grant.until > NEVER:
             pool.out -= grant.left()
@@ -399,7 +401,7 @@
         total.current, total.previous = windows.current, windows.previous
         return total
 
-    def share(self, pool: Pool, grant: Grant, now: int, asked: bool) -> int:
+    def share(self, pool: TenantQuota, grant: QuotaGrant, now: int, asked: bool) -> int:
         kept = reserve_of(pool.shape, self.ingresses) / self.ingresses
         free = self.free(pool) + (grant.left() if grant.until > NEVER else kept)
         if not asked:
