--- a/vetchusher/node/applying.py
+++ b/vetchusher/node/applying.py
@@ -8,75 +8,75 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault, Kind
 
-from .reading import Read, Reading
+from .reading import ConfigurationParser, ParsedConfiguration
 
-PAUSE_S = 0.1  # until the thread is asked again, when too much waits for it
+RETRY_S = 0.1  # until the thread is asked again, when too much waits for it
 
 
-class Applying:
+class CommitPublisher:
     """Owner of the newest committed state that is not told yet, one at most: a newer one replaces it."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        reading: Reading,
-        tell: Callable[[wire.ControlState, Read | None], None],
-        note: Callable[[LogEvent], None],
+        parser: ConfigurationParser,
+        publish: Callable[[wire.ControlState, ParsedConfiguration | None], None],
+        log_event: Callable[[LogEvent], None],
     ) -> None:
         """:param tell: takes each state that is told with its configuration; None: there is none yet"""
-        self.loop, self.reading, self.tell, self.note = loop, reading, tell, note
-        self.held: Read | None = None
-        self.waiting: wire.ControlState | None = None
+        self.loop, self.parser, self.publish, self.log_event = loop, parser, publish, log_event
+        self.last_parsed: ParsedConfiguration | None = None
+        self.pending: wire.ControlState | None = None
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def behind(self) -> bool:
+    def is_behind(self) -> bool:
         """What is told is not all that is committed."""
         return self.task is not None
 
-    def committed(self, state: wire.ControlState) -> None:
-        if self.task is None and self.at_once(state):
+    def on_committed(self, state: wire.ControlState) -> None:
+        if self.task is None and self.publish_at_once(state):
             return
-        self.waiting = state
+        self.pending = state
         if self.task is None:
             self.task = self.loop.create_task(self.work())
 
-    def at_once(self, state: wire.ControlState) -> bool:
+    def publish_at_once(self, state: wire.ControlState) -> bool:
         raw = state.configuration
         if not state.version:
-            self.tell(state, None)
-        elif self.held is not None and self.held.raw == raw:
-            self.tell(state, self.held)
+            self.publish(state, None)
+        elif self.last_parsed is not None and self.last_parsed.raw == raw:
+            self.publish(state, self.last_parsed)
         else:
-            found = self.reading.known(raw)
+            found = self.parser.parse_at_once(raw)
             if found is None:
                 return False
-            self.read(state, found)
+            self.publish_parsed(state, found)
         return True
 
-    def read(self, state: wire.ControlState, found: Result[Read, Fault]) -> None:
+    def publish_parsed(self, state: wire.ControlState, found: Result[ParsedConfiguration, Error]) -> None:
         match found:
             case Success(read):
-                self.held = read
-                self.tell(state, read)
+                self.last_parsed = read
+                self.publish(state, read)
             case Failure(fault):  # it was checked before it was stored: this program is older
-                self.note(LogEvent(Event.NEWS_UNUSABLE, {"why": fault.text}))
+                self.log_event(LogEvent(Event.UPDATE_REJECTED, {"why": fault.text}))
 
     async def work(self) -> None:
         try:
-            while self.waiting is not None:
-                state, self.waiting = self.waiting, None
-                if self.at_once(state):
+            while self.pending is not None:
+                state, self.pending = self.pending, None
+                if self.publish_at_once(state):
                     continue
-                found = await self.reading.read_whole(state.configuration)
-                if isinstance(found, Failure) and found.failure().kind is Kind.NOT_SETTLED:
-                    self.waiting = self.waiting or state
-                    await asyncio.sleep(PAUSE_S)
+                found = await self.parser.parse_with_rows(state.configuration)
+                if isinstance(found, Failure) and found.failure().code is ErrorCode.UNAVAILABLE:
+                    self.pending = self.pending or state
+                    await asyncio.sleep(RETRY_S)
                     continue
-                self.read(state, found)
+                self.publish_parsed(state, found)
         finally:
             self.task = None
 
--- a/vetchusher/node/callers.py
+++ b/vetchusher/node/callers.py
@@ -17,7 +17,7 @@
 HUNG_UP = select.POLLHUP | select.POLLERR | select.POLLRDHUP
 
 
-def waited_s(transport: asyncio.BaseTransport) -> float:
+def unread_for_s(transport: asyncio.BaseTransport) -> float:
     """Seconds since the last byte came on the connection, read or not; none where it is closing here."""
     if transport.is_closing():
         return 0.0
@@ -26,7 +26,7 @@
     return float(LAST_DATA.unpack_from(raw, LAST_DATA_AT)[0]) / 1e3
 
 
-def hung_up(transport: asyncio.BaseTransport) -> bool:
+def has_hung_up(transport: asyncio.BaseTransport) -> bool:
     """Whether the other side has ended the connection, also where the event loop has yet to hear of it."""
     if transport.is_closing():
         return True
--- a/vetchusher/node/cli.py
+++ b/vetchusher/node/cli.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher import __version__
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.settings.node import NodeSettings, read_node
 
 from .start import CONFIG, UNUSABLE, start
@@ -116,7 +116,7 @@
     return report(lines or [bad("nothing to check: give --settings, --configuration or --data")])
 
 
-def report(lines: Sequence[Result[str, Fault]]) -> int:
+def report(lines: Sequence[Result[str, Error]]) -> int:
     """Good lines to standard output, others to standard error; the code of both."""
     for line in lines:
         if isinstance(line, Failure):
@@ -126,11 +126,11 @@
     return UNUSABLE if any(isinstance(line, Failure) for line in lines) else 0
 
 
-def bad(text: str, kind: Kind = Kind.BAD_SETTINGS) -> Result[str, Fault]:
-    return Failure(Fault(kind, text))
+def bad(text: str, kind: ErrorCode = ErrorCode.INVALID_SETTINGS) -> Result[str, Error]:
+    return Failure(Error(kind, text))
 
 
-def checked_settings(path: str) -> Result[str, Fault]:
+def checked_settings(path: str) -> Result[str, Error]:
     return read_node(path).map(lambda node: f"{path}: {told(node)}")
 
 
@@ -141,7 +141,7 @@
     return f"{node.node_name} in {node.zone} ({node.region}) serves {at or 'nobody'}; keeps {store}"
 
 
-def checked_configuration(path: str) -> Result[str, Fault]:
+def checked_configuration(path: str) -> Result[str, Error]:
     from vetchusher.settings.configuration import read_configuration
 
     try:
@@ -156,5 +156,5 @@
                 f"{len(c.tenants)} tenants"
             )
         )
-        .alt(lambda fault: Fault(fault.kind, f"{path}: {fault.text}"))
+        .alt(lambda fault: Error(fault.code, f"{path}: {fault.text}"))
     )
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -11,29 +11,29 @@
 from vetchusher import control
 from vetchusher.control import Replica
 from vetchusher.directory.presence import TTL_S, Presence
-from vetchusher.discovery.reader import Reader
+from vetchusher.discovery.reader import ServerListReader
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import evacuation_rows
 from vetchusher.distribution.snapshot import SnapshotStore
-from vetchusher.distribution.source import NEVER, Source, vector_of
-from vetchusher.distribution.subscriber import Send, Subscriber
+from vetchusher.distribution.source import ZERO_STAMP, Source, version_vector
+from vetchusher.distribution.subscriber import Subscriber, SubscriberOutput
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault, Kind
-from vetchusher.limits.totals import Holder
+from vetchusher.limits.totals import QuotaCoordinator
 from vetchusher.limits.windows import Bounds as QuotaBounds
 from vetchusher.settings.configuration import Configuration
 from vetchusher.settings.node import NodeSettings
 
 from . import operator_api
-from .applying import Applying
-from .following import Following
-from .lives import Lives
-from .paths import Channel, Paths
+from .applying import CommitPublisher
+from .following import SubscriberDriver
+from .lives import IncarnationTracker
+from .paths import Channel, PeerNetwork
 from .persistence import Persister
-from .platform import Platform
-from .publishing import Publisher
-from .reading import Read, Reading
-from .repair import LETTERS, RepairDriver
+from .platform import ServerListClient
+from .publishing import UpdateCache
+from .reading import ConfigurationParser, ParsedConfiguration
+from .repair import REPAIR_MESSAGES, RepairDriver
 
 TICK_S = 0.05
 READ_PAUSE_S = 0.6  # between two whole reads of the list
@@ -42,7 +42,7 @@
 NAMED_US = 1_000_000  # since ingresses were looked up: the same of the directory's answers
 LATE_SEND_US = 500_000  # since it was decided: what was not sent by then is not sent at all
 OVERTAKEN_US = 900_000  # since it came: an order that bears no number is passed on no later
-MOST_WATCHERS = 2048
+MAX_WATCHERS = 2048
 ASK_AGAIN_US = 300_000  # told to whoever asked while no primary answered
 BACK_US = 500_000  # when to send again what a disk refused; it is asked as often (`Timing.retry_us`)
 LAST_VOTE_S = 0.5  # for a learner, if there is one, to take the seat of a machine that ends
@@ -50,13 +50,13 @@
 SHELF_BACK_OFF_S = 1.0  # after one that the disk refused
 
 
-def passed_on(done: wire.OrderDone) -> Fault:
+def passed_on(done: wire.OrderDone) -> Error:
     """What the primary said of an order.
 
     Danger: a kind of a newer release may be no refusal: whoever asked is to come back.
     """
-    kind = Kind(done.kind) if done.kind in set(Kind) else Kind.NOT_SETTLED
-    return Fault(kind, done.text, ASK_AGAIN_US if kind is Kind.NOT_SETTLED else 0)
+    kind = ErrorCode(done.kind) if done.kind in set(ErrorCode) else ErrorCode.UNAVAILABLE
+    return Error(kind, done.text, ASK_AGAIN_US if kind is ErrorCode.UNAVAILABLE else 0)
 
 
 def evacuation_of(asked: wire.Evacuate) -> control.EvacuationOrder:
@@ -68,7 +68,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         node: NodeSettings,
-        paths: Paths,
+        paths: PeerNetwork,
         store: control.Store,
         kept: control.PersistentState | None,
         shelf: SnapshotStore | None,
@@ -76,9 +76,9 @@
         now: Callable[[], int],
         note: Callable[[LogEvent], None],
     ) -> None:
-        self.loop, self.node, self.paths, self.now, self.note = loop, node, paths, now, note
+        self.loop, self.node, self.paths, self.now, self.log_event = loop, node, paths, now, note
         seeds = [host for host, _ in node.seed_nodes]
-        self.member = Replica(
+        self.replica = Replica(
             control.ReplicaSettings(
                 node.ip_address,
                 node.zone,
@@ -91,33 +91,35 @@
             now(),
             store.imported_state,
         )
-        self.saving = Persister(loop, store, self.saved, note)
-        self.mending = RepairDriver(
-            node.ip_address, self.member, self.saving, rng, now, self.feed, self.carry
+        self.persister = Persister(loop, store, self.on_persisted, note)
+        self.repair_driver = RepairDriver(
+            node.ip_address, self.replica, self.persister, rng, now, self.feed, self.perform
         )
-        self.reading = Reading(loop)
+        self.parser = ConfigurationParser(loop)
         self.presence = Presence()
         self.control, self.discovery, self.directory = (
             Source("control"),
             Source("discovery"),
             Source("directory"),
         )
-        self.sources = {led.source: led for led in (self.control, self.discovery, self.directory)}
+        self.sources = {led.name: led for led in (self.control, self.discovery, self.directory)}
         # A witness has no copy of the control state: what it tells of it is pulled like the rest.
-        self.follower = Subscriber(seeds, self.sources, node.ip_address)
-        self.telling = Publisher(self.sources)
-        self.applying = Applying(loop, self.reading, self.tell_state, note)
+        self.subscriber = Subscriber(seeds, self.sources, node.ip_address)
+        self.update_cache = UpdateCache(self.sources)
+        self.commit_publisher = CommitPublisher(loop, self.parser, self.publish_state, note)
         self.configuration: Configuration | None = None
-        self.lives = Lives()
+        self.incarnations = IncarnationTracker()
         self.watchers: dict[str, Channel] = {}  # by ip: to whom a grown vector is told unasked
-        self.orders: dict[int, asyncio.Future[Result[bytes, Fault]]] = {}
+        self.orders: dict[int, asyncio.Future[Result[bytes, Error]]] = {}
         self.next_order = 1
-        self.duty: asyncio.Task[None] | None = None
-        self.holder: Holder | None = None
-        self.resting: Holder | None = None  # of the epoch whose lease ran out last: it may be regained
-        self.platform = Platform(node.cloud_api)
-        self.following = Following(self.paths, self.follower, self)
-        self.shelf = shelf
+        self.server_list_task: asyncio.Task[None] | None = None
+        self.quota_coordinator: QuotaCoordinator | None = None
+        self.paused_quota_coordinator: QuotaCoordinator | None = (
+            None  # of the epoch whose lease ran out last: it may be regained
+        )
+        self.server_list_client = ServerListClient(node.cloud_api)
+        self.subscriber_driver = SubscriberDriver(self.paths, self.subscriber, self)
+        self.snapshots = shelf
         self.shelved: dict[str, tuple[int, int]] = {}  # stamps of what is on the shelf
         self.shelving: asyncio.Task[None] | None = None
         if shelf is not None:
@@ -133,104 +135,108 @@
         """Danger: this machine may stand still at any point; a message that says what is committed under a
         lease of before is lost rather than sent late, as any message may be."""
         decided_at = self.now()
-        for output in self.member.handle(decided_at, event):
+        for output in self.replica.handle(decided_at, event):
             if not isinstance(output, control.Send) or self.now() <= decided_at + LATE_SEND_US:
-                self.carry(output)
+                self.perform(output)
 
-    def carry(self, output: control.Output) -> None:
+    def perform(self, output: control.Output) -> None:
         match output:
             case control.Send(to, message):
-                self.paths.tell(to, wire.Frame(control=message))
+                self.paths.send(to, wire.Frame(control=message))
             case control.Persist(token, kept):
-                self.saving.save(token, kept)
+                self.persister.save(token, kept)
             case control.Completed(number, outcome):
                 future = self.orders.get(number)
                 if future is not None and not future.done():
                     future.set_result(outcome)
             case control.Committed(state):
-                self.applying.committed(state)
+                self.commit_publisher.on_committed(state)
             case LogEvent():
-                self.note(output)
+                self.log_event(output)
 
-    def saved(self, token: int, good: bool) -> None:
+    def on_persisted(self, token: int, good: bool) -> None:
         self.feed(control.Persisted(token, good))
 
-    def tell_state(self, state: wire.ControlState, read: Read | None) -> None:
+    def publish_state(self, state: wire.ControlState, read: ParsedConfiguration | None) -> None:
         """What has become part of the state: rows of the configuration, and zones evacuated."""
         rows: dict[str, bytes] = {}
         if read is not None:
             self.configuration = read.configuration
             rows = {**read.rows, **evacuation_rows({one.zone: one.on for one in state.evacuations})}
         if self.control.publish((state.stamp.epoch, state.stamp.seq), rows):
-            if self.holder is not None and self.configuration is not None:
-                self.holder.configure(self.now(), self.configuration.tenants)
-            self.tell_watchers()
+            if self.quota_coordinator is not None and self.configuration is not None:
+                self.quota_coordinator.configure(self.now(), self.configuration.tenants)
+            self.notify_watchers()
 
     # -- frames ---------------------------------------------------------------------------
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
-        if self.overtaken(frame, channel):
+        if self.is_stale(frame, channel):
             return
         if kind == "control":
             heard = control.Received(frame.sender, frame.zone, frame.control)
-            if frame.control.WhichOneof("kind") in LETTERS:
-                self.mending.heard(heard)
+            if frame.control.WhichOneof("kind") in REPAIR_MESSAGES:
+                self.repair_driver.on_message(heard)
             else:
                 self.feed(heard)
         elif kind == "heartbeat":
-            for note in self.presence.heard(self.now(), frame.heartbeat):
-                self.note(note)
-            if frame.heartbeat.ip in self.watchers or len(self.watchers) < MOST_WATCHERS:
+            for note in self.presence.on_heartbeat(self.now(), frame.heartbeat):
+                self.log_event(note)
+            if frame.heartbeat.ip in self.watchers or len(self.watchers) < MAX_WATCHERS:
                 self.watchers[frame.heartbeat.ip] = channel
             news = (
-                self.telling.news(frame.heartbeat.vector, with_beat=True)
+                self.update_cache.updates_for(frame.heartbeat.vector, in_heartbeat_reply=True)
                 if frame.heartbeat.wants_news
                 else b""
             )
-            channel.reply(frame, wire.Frame(heartbeat_reply=self.heard()), news)
+            channel.reply(frame, wire.Frame(heartbeat_reply=self.heartbeat_reply()), news)
         elif kind == "pull":
-            channel.reply(frame, wire.Frame(), self.telling.news(frame.pull.vector))
+            channel.reply(frame, wire.Frame(), self.update_cache.updates_for(frame.pull.vector))
         elif kind == "push":
-            if self.holder is not None and self.member.is_leader(self.now()):
-                channel.reply(frame, wire.Frame(totals=self.holder.push(self.now(), frame.push)))
-                alarm = self.holder.alarm(self.now())
+            if self.quota_coordinator is not None and self.replica.is_leader(self.now()):
+                channel.reply(
+                    frame, wire.Frame(totals=self.quota_coordinator.on_push(self.now(), frame.push))
+                )
+                alarm = self.quota_coordinator.alarm(self.now())
                 if alarm is not None:
-                    self.tell_all(wire.Frame(totals=alarm))
+                    self.broadcast(wire.Frame(totals=alarm))
         elif kind == "order":
-            task = self.loop.create_task(self.settle_for(frame, channel))
+            task = self.loop.create_task(self.on_forwarded_order(frame, channel))
             task.add_done_callback(lambda done: done.cancelled() or done.exception())
         elif kind == "heartbeat_reply":
-            self.carry_sends(self.follower.heard_beat(self.now(), frame.sender, 0, frame.heartbeat_reply))
+            self.carry_sends(
+                self.subscriber.on_heartbeat_reply(self.now(), frame.sender, 0, frame.heartbeat_reply)
+            )
 
-    def overtaken(self, frame: wire.Frame, channel: Channel) -> bool:
+    def is_stale(self, frame: wire.Frame, channel: Channel) -> bool:
         """Whether a later life of the process that wrote this has been heard.
 
         Danger: it speaks of a disk that may be lost since, and of an ingress that has ended.
         """
         kind = frame.WhichOneof("body")
         life = {"control": frame.control.life, "heartbeat": frame.heartbeat.life}.get(kind or "", 0)
-        return not self.lives.current(kind or "", frame.sender, life, channel.number)
+        return not self.incarnations.is_current(kind or "", frame.sender, life, channel.number)
 
-    def heard(self) -> wire.HeartbeatReply:
+    def heartbeat_reply(self) -> wire.HeartbeatReply:
         now = self.now()
         return wire.HeartbeatReply(
-            vector=vector_of(self.sources),
-            members=self.member.voters,
-            primary=self.member.primary_ip,
+            vector=version_vector(self.sources),
+            members=self.replica.voters,
+            primary=self.replica.primary_ip,
             # Danger: what is committed and not told yet would be taken for old.
-            in_force=self.in_force(now) and not self.applying.behind,
+            in_force=self.is_in_force(now) and not self.commit_publisher.is_behind,
         )
 
-    def in_force(self, now: int) -> bool:
+    def is_in_force(self, now: int) -> bool:
         """Whether a majority stands behind what is told here."""
-        return self.member.is_in_force(now, self.control.stamp)
+        return self.replica.is_in_force(now, self.control.stamp)
 
-    def tell_watchers(self) -> None:
+    def notify_watchers(self) -> None:
         """A grown vector, unasked: whoever lacks it pulls at once."""
-        self.tell_all(wire.Frame(heartbeat_reply=self.heard()))
+        self.broadcast(wire.Frame(heartbeat_reply=self.heartbeat_reply()))
 
-    def tell_all(self, frame: wire.Frame) -> None:
+    def broadcast(self, frame: wire.Frame) -> None:
         self.paths.sign(frame)
         for ip, channel in list(self.watchers.items()):
             if not channel.write(frame):
@@ -238,24 +244,26 @@
 
     # -- orders -----------------------------------------------------------------------------
 
-    async def settle(
+    async def execute(
         self, call: operator_api.Call
-    ) -> Result[operator_api.Answer, Fault] | operator_api.Backed:
+    ) -> Result[operator_api.Answer, Error] | operator_api.GuardedOutcome:
         """An operator's or a client's call at this machine's own doors."""
         match call:
-            case operator_api.AskResolution(_, region, zone):
+            case operator_api.ResolveAddresses(_, region, zone):
                 return self.resolve(region, zone)
             case operator_api.ReplaceConfiguration(body):
-                checked = await self.reading.read(body)
+                checked = await self.parser.parse(body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
                 order = control.ReplaceOrder(checked.unwrap().version, body)
                 passed = wire.OrderAsked(replace=wire.ReplaceConfiguration(body=body))
-                return acknowledged(await self.decide(order, passed), operator_api.Replaced())
+                return acknowledged(await self.decide(order, passed), operator_api.ConfigurationReplaced())
             case operator_api.RetrieveConfiguration():
                 passed = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
                 read = await self.decide(control.RetrieveOrder(), passed)
-                return operator_api.Backed(read.outcome.map(operator_api.Retrieved), read.lasts)
+                return operator_api.GuardedOutcome(
+                    read.outcome.map(operator_api.ConfigurationRetrieved), read.still_valid
+                )
             case operator_api.InitiateEvacuation(zone) | operator_api.TerminateEvacuation(zone):
                 if zone not in self.node.zones:
                     return self.no_zone(zone)
@@ -263,54 +271,56 @@
                 passed = wire.OrderAsked(evacuate=wire.Evacuate(zone=zone, on=on))
                 decided = await self.decide(control.EvacuationOrder(zone, on), passed)
                 return acknowledged(decided, operator_api.EvacuationSet(zone, on))
-        return Failure(Fault(Kind.NOT_FOUND, "no such call"))
+        return Failure(Error(ErrorCode.NOT_FOUND, "no such call"))
 
-    def resolve(self, region: str, zone: str) -> Result[operator_api.Answer, Fault] | operator_api.Backed:
+    def resolve(
+        self, region: str, zone: str
+    ) -> Result[operator_api.Answer, Error] | operator_api.GuardedOutcome:
         """Ingresses that were heard here lately: this machine's own hearing, whoever leads."""
         looked_at = self.now()
-        fronts = self.presence.name(looked_at, region, zone)
+        fronts = self.presence.resolve(looked_at, region, zone)
         if not fronts:
-            return Failure(Fault(Kind.NOT_SETTLED, "no ingress is known here"))
-        answer = operator_api.Resolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s))
-        return operator_api.Backed(Success(answer), lambda: self.now() <= looked_at + NAMED_US)
+            return Failure(Error(ErrorCode.UNAVAILABLE, "no ingress is known here"))
+        answer = operator_api.AddressesResolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s))
+        return operator_api.GuardedOutcome(Success(answer), lambda: self.now() <= looked_at + NAMED_US)
 
-    def no_zone(self, zone: str) -> operator_api.Backed:
+    def no_zone(self, zone: str) -> operator_api.GuardedOutcome:
         """Danger: a cut-off machine's settings may be older than the zone, and a 404 ends an order."""
-        unknown = Failure(Fault(Kind.NOT_FOUND, f"no zone {zone}"))
-        return operator_api.Backed(unknown, lambda: self.in_force(self.now()))
+        unknown = Failure(Error(ErrorCode.NOT_FOUND, f"no zone {zone}"))
+        return operator_api.GuardedOutcome(unknown, lambda: self.is_in_force(self.now()))
 
-    def refused(self, call: operator_api.Call, fault: Fault) -> None:
+    def on_rejected(self, call: operator_api.Call, fault: Error) -> None:
         """An operator got no 2xx."""
         told = {"call": type(call).__name__, "status": fault.status, "why": fault.text}
-        self.note(LogEvent(Event.ORDER_REFUSED, told))
+        self.log_event(LogEvent(Event.ORDER_REJECTED, told))
 
-    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> operator_api.Backed:
+    async def decide(self, order: control.Order, passed: wire.OrderAsked) -> operator_api.GuardedOutcome:
         """Settle it here where this is the primary; else pass it on once.
 
         Danger: evacuations have no version.  One that waited at the door while this process stood still may
         be older than its end, which others have acknowledged since.
         """
-        if isinstance(order, control.EvacuationOrder) and self.member.was_paused(self.now()):
-            waited = Failure(Fault(Kind.NOT_SETTLED, "it may have waited here", ASK_AGAIN_US))
-            return operator_api.Backed(waited, lambda: True)
-        if self.member.is_leader(self.now()):
+        if isinstance(order, control.EvacuationOrder) and self.replica.was_paused(self.now()):
+            waited = Failure(Error(ErrorCode.UNAVAILABLE, "it may have waited here", ASK_AGAIN_US))
+            return operator_api.GuardedOutcome(waited, lambda: True)
+        if self.replica.is_leader(self.now()):
             return await self.decide_here(order)
         passed_at = self.now()
-        outcome = await self.pass_on(passed)
-        return operator_api.Backed(outcome, lambda: self.now() <= passed_at + PASSED_READING_US)
+        outcome = await self.forward(passed)
+        return operator_api.GuardedOutcome(outcome, lambda: self.now() <= passed_at + PASSED_READING_US)
 
-    async def decide_here(self, order: control.Order) -> operator_api.Backed:
+    async def decide_here(self, order: control.Order) -> operator_api.GuardedOutcome:
         """By the epoch that this machine holds; it lasts as long as that is held."""
-        epoch = self.member.epoch
-        return operator_api.Backed(await self.submit(order), lambda: self.on_duty(epoch))
+        epoch = self.replica.epoch
+        return operator_api.GuardedOutcome(await self.submit(order), lambda: self.is_leader_of(epoch))
 
-    async def pass_on(self, passed: wire.OrderAsked) -> Result[bytes, Fault]:
-        primary = self.member.primary_ip
+    async def forward(self, passed: wire.OrderAsked) -> Result[bytes, Error]:
+        primary = self.replica.primary_ip
         if not primary or primary == self.node.ip_address:
-            return Failure(Fault(Kind.NOT_SETTLED, "no primary is known", ASK_AGAIN_US))
+            return Failure(Error(ErrorCode.UNAVAILABLE, "no primary is known", ASK_AGAIN_US))
         answer = await self.ask_primary(primary, passed)
         if answer is None or answer.WhichOneof("body") != "done":
-            return Failure(Fault(Kind.NOT_SETTLED, "no answer from the primary", ASK_AGAIN_US))
+            return Failure(Error(ErrorCode.UNAVAILABLE, "no answer from the primary", ASK_AGAIN_US))
         if answer.done.kind:
             return Failure(passed_on(answer.done))
         return Success(answer.done.body)
@@ -325,63 +335,65 @@
         if passed.HasField("evacuate"):
             asked = wire.EvacuationNumberAsked(zone=passed.evacuate.zone)
             frame = wire.Frame(order=wire.OrderAsked(evacuation_number=asked))
-            told = await self.paths.ask(primary, frame, PASS_ON_S)
+            told = await self.paths.request(primary, frame, PASS_ON_S)
             if told is None or told.WhichOneof("body") != "done" or told.done.kind:
                 return told
             if self.now() >= began + OVERTAKEN_US:
                 return None
             passed.evacuate.after = told.done.number
-        return await self.paths.ask(primary, wire.Frame(order=passed), PASS_ON_S)
+        return await self.paths.request(primary, wire.Frame(order=passed), PASS_ON_S)
 
-    async def submit(self, order: control.Order) -> Result[bytes, Fault]:
+    async def submit(self, order: control.Order) -> Result[bytes, Error]:
         number, self.next_order = self.next_order, self.next_order + 1
-        future: asyncio.Future[Result[bytes, Fault]] = self.loop.create_future()
+        future: asyncio.Future[Result[bytes, Error]] = self.loop.create_future()
         self.orders[number] = future
         try:
             self.feed(control.Submitted(number, order))
-            return (await future).alt(self.explained)
+            return (await future).alt(self.explain)
         finally:
             del self.orders[number]
 
-    def explained(self, fault: Fault) -> Fault:
+    def explain(self, fault: Error) -> Error:
         """What was not settled may have waited for a disk."""
-        if fault.kind is not Kind.NOT_SETTLED or not self.saving.refused:
+        if fault.code is not ErrorCode.UNAVAILABLE or not self.persister.failure_reason:
             return fault
-        return Fault(fault.kind, f"{fault.text}; the disk here refuses: {self.saving.refused}", BACK_US)
+        return Error(
+            fault.code, f"{fault.text}; the disk here refuses: {self.persister.failure_reason}", BACK_US
+        )
 
-    async def settle_for(self, frame: wire.Frame, channel: Channel) -> None:
+    async def on_forwarded_order(self, frame: wire.Frame, channel: Channel) -> None:
         """An order that another core machine passed on: settled here or not at all."""
         asked = frame.order
-        if asked.HasField("evacuation_number") and self.member.is_leader(self.now()):
-            number = self.member.last_evacuation_order(asked.evacuation_number.zone)
+        if asked.HasField("evacuation_number") and self.replica.is_leader(self.now()):
+            number = self.replica.last_evacuation_order(asked.evacuation_number.zone)
             channel.reply(frame, wire.Frame(done=wire.OrderDone(number=number)))
             return
-        outcome = await self.settle_passed(asked)
+        outcome = await self.execute_forwarded(asked)
         done = wire.OrderDone()
         match outcome:
             case Success(body):
                 done.body = body
             case Failure(fault):
-                done.kind, done.text = fault.kind.value, fault.text
+                done.kind, done.text = fault.code.value, fault.text
         channel.reply(frame, wire.Frame(done=done))
 
-    async def settle_passed(self, asked: wire.OrderAsked) -> Result[bytes, Fault]:
+    async def execute_forwarded(self, asked: wire.OrderAsked) -> Result[bytes, Error]:
         """As it may leave: what is read out or refused for good only while the lease lasts."""
-        if not self.member.is_leader(self.now()):
-            return Failure(Fault(Kind.NOT_SETTLED, "not the primary"))
+        if not self.replica.is_leader(self.now()):
+            return Failure(Error(ErrorCode.UNAVAILABLE, "not the primary"))
         match asked.WhichOneof("order"):
             case "replace":
-                checked = await self.reading.read(asked.replace.body)
+                checked = await self.parser.parse(asked.replace.body)
                 if isinstance(checked, Failure):
                     return Failure(checked.failure())
                 order = control.ReplaceOrder(checked.unwrap().version, asked.replace.body)
-                return acknowledged(await self.decide_here(order), b"").leaving()
+                return acknowledged(await self.decide_here(order), b"").checked_at_send()
             case "retrieve":
-                return (await self.decide_here(control.RetrieveOrder())).leaving()
+                return (await self.decide_here(control.RetrieveOrder())).checked_at_send()
             case "evacuate":
                 evacuation = evacuation_of(asked.evacuate)
-                return acknowledged(await self.decide_here(evacuation), b"").leaving()
-        return Failure(Fault(Kind.NOT_SETTLED, "no such order"))
+                return acknowledged(await self.decide_here(evacuation), b"").checked_at_send()
+        return Failure(Error(ErrorCode.UNAVAILABLE, "no such order"))
 
     # -- time -----------------------------------------------------------------------------------
 
@@ -394,115 +406,123 @@
     def tick(self) -> None:
         now = self.now()
         self.feed(control.Tick())
-        self.mending.tick()
-        for note in self.presence.sweep(now):
-            self.note(note)
-        holds = self.member.is_leader(now)
-        if holds and (self.duty is None or self.duty.done()):
+        self.repair_driver.tick()
+        for note in self.presence.expire(now):
+            self.log_event(note)
+        holds = self.replica.is_leader(now)
+        if holds and (self.server_list_task is None or self.server_list_task.done()):
             self.begin_duties(now)
-        elif not holds and self.holder is not None:
+        elif not holds and self.quota_coordinator is not None:
             self.end_duties()
-        if self.holder is not None:
-            self.holder.fleet(now, self.presence.may_serve())
-            standing = self.holder.standing()
+        if self.quota_coordinator is not None:
+            self.quota_coordinator.fleet(now, self.presence.may_serve())
+            standing = self.quota_coordinator.log_fields()
             if standing is not None:
-                self.note(LogEvent(Event.TOTALS_HELD, {"epoch": self.holder.life, **standing}))
-            self.tell_ingresses()
-        self.carry_sends(self.follower.tick(now))
-        if self.shelf is not None and (self.shelving is None or self.shelving.done()):
-            due = [led for name, led in self.sources.items() if led.stamp > self.shelved.get(name, NEVER)]
+                self.log_event(
+                    LogEvent(
+                        Event.QUOTA_COORDINATOR_STATUS, {"epoch": self.quota_coordinator.epoch, **standing}
+                    )
+                )
+            self.publish_ingresses()
+        self.carry_sends(self.subscriber.tick(now))
+        if self.snapshots is not None and (self.shelving is None or self.shelving.done()):
+            due = [
+                led for name, led in self.sources.items() if led.stamp > self.shelved.get(name, ZERO_STAMP)
+            ]
             if due:
-                self.shelving = self.loop.create_task(self.put_away(self.shelf, due))
-        named = {*self.member.voters, *self.follower.seeds} - {self.node.ip_address}
-        self.paths.keep(named)
+                self.shelving = self.loop.create_task(self.put_away(self.snapshots, due))
+        named = {*self.replica.voters, *self.subscriber.seeds} - {self.node.ip_address}
+        self.paths.keep_peers(named)
 
     async def put_away(self, shelf: SnapshotStore, due: list[Source]) -> None:
         """Keep what has been told, off the loop; a disk that refuses is tried again after a while."""
         for ledger in due:
-            news = ledger.since(self.shelved.get(ledger.source, NEVER))
+            news = ledger.update_since(self.shelved.get(ledger.name, ZERO_STAMP))
             if news is None:
                 continue
-            outcome = await self.loop.run_in_executor(self.saving.thread, shelf.save, news)
+            outcome = await self.loop.run_in_executor(self.persister.thread, shelf.save, news)
             if isinstance(outcome, Failure):
-                self.note(LogEvent(Event.STORE_FAILED, {"why": outcome.failure().text}))
-                self.shelved.pop(ledger.source, None)  # all of it, when it is tried again
+                self.log_event(LogEvent(Event.STORE_FAILED, {"why": outcome.failure().text}))
+                self.shelved.pop(ledger.name, None)  # all of it, when it is tried again
                 await asyncio.sleep(SHELF_BACK_OFF_S)
                 return
-            self.shelved[ledger.source] = (news.stamp.epoch, news.stamp.seq)
+            self.shelved[ledger.name] = (news.stamp.epoch, news.stamp.seq)
         await asyncio.sleep(SHELF_PAUSE_S)
 
     def begin_duties(self, now: int) -> None:
-        epoch = self.member.epoch
+        epoch = self.replica.epoch
         for name in self.directory.rows:
             self.presence.remember(now, name)
-        if self.holder is None:
-            self.holder = self.holder_of(epoch, now)
-            self.holder.fleet(now, self.presence.may_serve())
+        if self.quota_coordinator is None:
+            self.quota_coordinator = self.holder_of(epoch, now)
+            self.quota_coordinator.fleet(now, self.presence.may_serve())
             if self.configuration is not None:
-                self.holder.configure(now, self.configuration.tenants)
-        self.duty = self.loop.create_task(self.read_list(epoch))
+                self.quota_coordinator.configure(now, self.configuration.tenants)
+        self.server_list_task = self.loop.create_task(self.read_list(epoch))
 
-    def holder_of(self, epoch: int, now: int) -> Holder:
+    def holder_of(self, epoch: int, now: int) -> QuotaCoordinator:
         """Danger: ingresses know holders by the epoch.  One that begins anew within it would be taken for the
         one that has heard of all that passed."""
-        if self.resting is not None and self.resting.life == epoch:
-            return self.resting
+        if self.paused_quota_coordinator is not None and self.paused_quota_coordinator.epoch == epoch:
+            return self.paused_quota_coordinator
         bounds = self.node.bounds
         quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
-        return Holder(epoch, now, quota)
+        return QuotaCoordinator(epoch, now, quota)
 
-    def tell_ingresses(self) -> None:
+    def publish_ingresses(self) -> None:
         """Who may be serving, as rows: by how many a quota is divided, and who knows whom."""
         rows = self.presence.rows(self.now())
         if rows != self.directory.values():
             epoch, seq = self.directory.stamp
-            stamp = (self.member.epoch, seq + 1 if epoch == self.member.epoch else 1)
+            stamp = (self.replica.epoch, seq + 1 if epoch == self.replica.epoch else 1)
             if self.directory.publish(stamp, rows):
-                self.tell_watchers()
+                self.notify_watchers()
 
     def end_duties(self) -> None:
-        self.resting, self.holder = self.holder, None
-        if self.duty is not None:
-            self.duty.cancel()
-        self.note(LogEvent(Event.TOTALS_LEFT))
+        self.paused_quota_coordinator, self.quota_coordinator = self.quota_coordinator, None
+        if self.server_list_task is not None:
+            self.server_list_task.cancel()
+        self.log_event(LogEvent(Event.QUOTA_COORDINATOR_STOPPED))
 
-    def on_duty(self, epoch: int) -> bool:
-        return self.member.is_leader(self.now()) and self.member.epoch == epoch
+    def is_leader_of(self, epoch: int) -> bool:
+        return self.replica.is_leader(self.now()) and self.replica.epoch == epoch
 
     async def read_list(self, epoch: int) -> None:
         """Read the platform's list, and tell what it says, for as long as the epoch is held."""
-        reader = Reader(self.node.zones, self.discovery.values())
+        reader = ServerListReader(self.node.zones, self.discovery.values())
         # Danger: a regained lease is of the same epoch; numbers that began again would be taken for old.
         published, seq = self.discovery.stamp
         seq = seq if published == epoch else 0
         told, failed = None, False
-        while self.on_duty(epoch):
+        while self.is_leader_of(epoch):
             began = self.loop.time()
-            match await self.platform.read():
+            match await self.server_list_client.read():
                 case Success(entries):
-                    if not self.on_duty(epoch):
+                    if not self.is_leader_of(epoch):
                         return
                     serving = [(one.node, one.region) for one in self.presence.serving(self.now())]
                     rows: Mapping[str, bytes] = reader.read(entries, serving)
                     if rows != told:
                         seq, told = seq + 1, rows
                         self.discovery.publish((epoch, seq), rows)
-                        self.note(
-                            LogEvent(Event.LIST_READ, {"epoch": epoch, "seq": seq, "servers": len(rows)})
+                        self.log_event(
+                            LogEvent(
+                                Event.SERVER_LIST_READ, {"epoch": epoch, "seq": seq, "servers": len(rows)}
+                            )
                         )
-                        self.tell_watchers()
+                        self.notify_watchers()
                     failed = False
                 case Failure(fault):
                     if not failed:
-                        self.note(LogEvent(Event.LIST_FAILED, {"why": fault.text}))
+                        self.log_event(LogEvent(Event.SERVER_LIST_FAILED, {"why": fault.text}))
                     failed = True
-            pause = max(READ_PAUSE_S, self.platform.pause_s)
+            pause = max(READ_PAUSE_S, self.server_list_client.pause_s)
             await asyncio.sleep(max(0.05, began + pause - self.loop.time()))
 
     # -- keeping up with the other core machines ----------------------------------------------------
 
-    def carry_sends(self, sends: Sequence[Send]) -> None:
-        self.following.carry(sends)
+    def carry_sends(self, sends: Sequence[SubscriberOutput]) -> None:
+        self.subscriber_driver.carry(sends)
 
     def heartbeat(self) -> wire.Heartbeat:
         node = self.node
@@ -511,32 +531,32 @@
             ip=node.ip_address,
             zone=node.zone,
             region=node.region,
-            vector=vector_of(self.sources),
+            vector=version_vector(self.sources),
         )
 
-    def news_taken(self, changed: set[str]) -> None:
+    def on_updates_applied(self, changed: set[str]) -> None:
         if changed:
-            self.tell_watchers()
+            self.notify_watchers()
 
-    def reseed(self, node: NodeSettings) -> None:
+    def update_settings(self, node: NodeSettings) -> None:
         self.node = node
         seeds = [host for host, _ in node.seed_nodes]
-        self.member.update_seeds(seeds)
-        self.follower.reseed(seeds)
+        self.replica.update_seeds(seeds)
+        self.subscriber.update_seeds(seeds)
 
-    def leave(self) -> None:
+    def begin_shut_down(self) -> None:
         """Another is to lead, or to hold the copy, at once."""
         self.feed(control.ShutDown())
 
-    def may_not_end(self, deadline_s: float, seat_end_s: float) -> bool:
+    def must_stay(self, deadline_s: float, seat_end_s: float) -> bool:
         """Whether this machine, about to end, has something that another has to take over first.
 
         :param seat_end_s: on the loop's clock: until when it waits for its seat alone to be taken
         """
         at = self.loop.time()
-        if self.member.is_needed(self.now()):
+        if self.replica.is_needed(self.now()):
             return at < deadline_s
-        return self.member.is_voter and at < seat_end_s
+        return self.replica.is_voter and at < seat_end_s
 
     async def close(self, deadline_s: float) -> None:
         """Votes on until others have taken over, for a while.
@@ -544,20 +564,20 @@
         :param deadline_s: on the loop's clock
         """
         seat_end = min(deadline_s, self.loop.time() + LAST_VOTE_S)
-        while self.may_not_end(deadline_s, seat_end):
+        while self.must_stay(deadline_s, seat_end):
             await asyncio.sleep(TICK_S)
-        await self.following.close()
-        if self.duty is not None:
-            self.duty.cancel()
-        await self.platform.close()
-        self.applying.close()
-        self.mending.close()
-        self.saving.close()
-        self.reading.close()
+        await self.subscriber_driver.close()
+        if self.server_list_task is not None:
+            self.server_list_task.cancel()
+        await self.server_list_client.close()
+        self.commit_publisher.close()
+        self.repair_driver.close()
+        self.persister.close()
+        self.parser.close()
 
 
-def acknowledged(decided: operator_api.Backed, answer: object) -> operator_api.Backed:
+def acknowledged(decided: operator_api.GuardedOutcome, answer: object) -> operator_api.GuardedOutcome:
     """A change that was settled: on enough disks it stays acknowledged, whoever leads by now."""
     if isinstance(decided.outcome, Success):
-        return operator_api.Backed(Success(answer), lambda: True)
+        return operator_api.GuardedOutcome(Success(answer), lambda: True)
     return decided
--- a/vetchusher/node/folders.py
+++ b/vetchusher/node/folders.py
@@ -20,35 +20,36 @@
 from vetchusher.control.digests import FAN_OUT
 from vetchusher.control.imported_state import imported_state_of
 from vetchusher.distribution.rows import digest
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.settings.configuration import read_configuration
 
 Found = TypeVar("Found")
 Look: TypeAlias = Callable[[Store | None, PersistentState | None, dict[str, int]], Found]
 
 
-def checked(folder: str) -> Result[str, Fault]:
+def checked(folder: str) -> Result[str, Error]:
     return looked_at(folder, told).map(
         lambda found: f"{folder}: {json.dumps(found) if found else 'nothing yet'}"
     )
 
 
-def inspected(folder: str) -> Result[str, Fault]:
+def inspected(folder: str) -> Result[str, Error]:
     return looked_at(folder, told).map(lambda found: json.dumps(found, indent=2))
 
 
-def exported(folder: str, file: str) -> Result[str, Fault]:
+def exported(folder: str, file: str) -> Result[str, Error]:
     path = pathlib.Path(file)
     kept = kept_in(folder)
     if isinstance(kept, Failure):
         return kept
     found = kept.unwrap()
     if found is None:
-        return Failure(Fault(Kind.BAD_STORE, f"{folder}: nothing yet"))
+        return Failure(Error(ErrorCode.STORAGE_ERROR, f"{folder}: nothing yet"))
     if not found.has_copy:
         return Failure(
-            Fault(
-                Kind.BAD_STORE, f"{folder}: holds no copy; one of {', '.join(found.replica_set.copies)} does"
+            Error(
+                ErrorCode.STORAGE_ERROR,
+                f"{folder}: holds no copy; one of {', '.join(found.replica_set.copies)} does",
             )
         )
     state = found.state
@@ -59,7 +60,7 @@
     )
 
 
-def imported(file: str, folder: str) -> Result[str, Fault]:
+def imported(file: str, folder: str) -> Result[str, Error]:
     kept = named(file, archive.read_export(pathlib.Path(file)).bind(readable))
     if isinstance(kept, Failure):
         return kept
@@ -69,39 +70,39 @@
     )
 
 
-def readable(kept: PersistentState) -> Result[PersistentState, Fault]:
+def readable(kept: PersistentState) -> Result[PersistentState, Error]:
     """Danger: a core that begins from a configuration that it cannot read serves nobody."""
     if not kept.state.version:
         return Success(kept)
     return read_configuration(kept.state.configuration).map(lambda _: kept)
 
 
-def named(path: str, outcome: Result[Found, Fault]) -> Result[Found, Fault]:
-    return outcome.alt(lambda fault: Fault(fault.kind, f"{path}: {fault.text}"))
+def named(path: str, outcome: Result[Found, Error]) -> Result[Found, Error]:
+    return outcome.alt(lambda fault: Error(fault.code, f"{path}: {fault.text}"))
 
 
-def kept_in(folder: str) -> Result[PersistentState | None, Fault]:
+def kept_in(folder: str) -> Result[PersistentState | None, Error]:
     """What a folder holds, also as a floor; None: nothing."""
     return looked_at(folder, lambda store, kept, files: kept or (store.imported_state if store else None))
 
 
-def looked_at(folder: str, look: Look[Found]) -> Result[Found, Fault]:
+def looked_at(folder: str, look: Look[Found]) -> Result[Found, Error]:
     """:param look: takes the opened store and what it holds (None: nothing), and what lies in the folder"""
     try:
         if not any(pathlib.Path(folder).iterdir()):
             return Success(look(None, None, {}))
         if not (pathlib.Path(folder) / FILE_NAME).exists():
-            return Failure(Fault(Kind.BAD_STORE, f"{folder}: there is no {FILE_NAME} in it"))
+            return Failure(Error(ErrorCode.STORAGE_ERROR, f"{folder}: there is no {FILE_NAME} in it"))
         with tempfile.TemporaryDirectory() as place:
             copy = shutil.copytree(folder, pathlib.Path(place) / "copy")
             files = {each.name: each.stat().st_size for each in copy.iterdir()}
             files["format"] = format_in_header(copy / FILE_NAME)
             return named(folder, Store.open(str(copy)).bind(lambda store: loaded(store, look, files)))
     except (OSError, shutil.Error) as err:
-        return Failure(Fault(Kind.BAD_STORE, f"{folder}: {getattr(err, 'strerror', None) or err}"))
+        return Failure(Error(ErrorCode.STORAGE_ERROR, f"{folder}: {getattr(err, 'strerror', None) or err}"))
 
 
-def loaded(store: Store, look: Look[Found], files: dict[str, int]) -> Result[Found, Fault]:
+def loaded(store: Store, look: Look[Found], files: dict[str, int]) -> Result[Found, Error]:
     try:
         return store.load().map(lambda kept: look(store, kept, files))
     finally:
--- a/vetchusher/node/lives.py
+++ b/vetchusher/node/lives.py
@@ -4,18 +4,18 @@
 
 from dataclasses import dataclass
 
-MOST = 4_096  # machines remembered
+MAX_MACHINES = 4_096  # machines remembered
 
 
 @dataclass(slots=True, frozen=True)
-class Speaker:
+class Incarnation:
     """:param since: number of the first connection on which this life was heard"""
 
-    life: int
-    since: int
+    number: int
+    first_connection: int
 
 
-class Lives:
+class IncarnationTracker:
     """It owns who spoke last of each machine; the one first heard is forgotten beyond `MOST`.
 
     Lives are drawn and have no order, but connections have one: a life's come after those of the lives before
@@ -24,20 +24,20 @@
     """
 
     def __init__(self) -> None:
-        self.speakers: dict[tuple[str, str], Speaker] = {}
+        self.latest: dict[tuple[str, str], Incarnation] = {}
 
-    def current(self, role: str, machine: str, life: int, connection: int) -> bool:
+    def is_current(self, role: str, machine: str, incarnation: int, connection: int) -> bool:
         """Whether what came on a connection is of the newest life heard, which it may make known.
 
         :param life: 0: the sender tells none
         :param connection: connections are numbered as they are accepted
         """
-        if not life:
+        if not incarnation:
             return True
-        known = self.speakers.get((role, machine))
-        if known is not None and (life == known.life or connection < known.since):
-            return life == known.life
-        self.speakers[role, machine] = Speaker(life, connection)
-        if len(self.speakers) > MOST:
-            del self.speakers[next(iter(self.speakers))]
+        known = self.latest.get((role, machine))
+        if known is not None and (incarnation == known.number or connection < known.first_connection):
+            return incarnation == known.number
+        self.latest[role, machine] = Incarnation(incarnation, connection)
+        if len(self.latest) > MAX_MACHINES:
+            del self.latest[next(iter(self.latest))]
         return True
--- a/vetchusher/node/log.py
+++ b/vetchusher/node/log.py
@@ -11,26 +11,26 @@
 
 from vetchusher.events import LogEvent
 
-MOST_LINES = 10  # a second, of one event
-MOST_CHARACTERS = 2_000  # of a line: others choose what some of them quote
-MOST_KEYS = 256
+MAX_LINES_PER_SECOND = 10  # a second, of one event
+MAX_LINE_CHARACTERS = 2_000  # of a line: others choose what some of them quote
+MAX_KEYS = 256
 
 
-class FewOfEach(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """So many lines of one event, or one logger, in a second; the next one says how many were left out.
 
     Danger: what others send must not turn the log into work.  It owns the counts: one for each event and
     logger, `MOST_KEYS` at most, then all begin anew.
     """
 
-    def __init__(self, most: int = MOST_LINES) -> None:
+    def __init__(self, most: int = MAX_LINES_PER_SECOND) -> None:
         super().__init__()
         self.most = most
         self.counts: dict[object, tuple[int, int]] = {}  # the second, and lines asked for in it
 
     def filter(self, record: logging.LogRecord) -> bool:
         key = getattr(record, "event", record.name)
-        if key not in self.counts and len(self.counts) >= MOST_KEYS:
+        if key not in self.counts and len(self.counts) >= MAX_KEYS:
             self.counts.clear()
         second, lines = self.counts.get(key, (0, 0))
         if second != int(record.created):  # either way: the time of day jumps
@@ -41,13 +41,13 @@
         return lines < self.most
 
 
-class OneLine(logging.Formatter):
+class SingleLineFormatter(logging.Formatter):
     def __init__(self) -> None:
         super().__init__("%(asctime)s.%(msecs)03d %(levelname).1s %(message)s", "%Y-%m-%dT%H:%M:%S")
 
     def format(self, record: logging.LogRecord) -> str:
         """Danger: a line's end inside a line would let others write lines of their own."""
-        return " | ".join(super().format(record).splitlines())[:MOST_CHARACTERS]
+        return " | ".join(super().format(record).splitlines())[:MAX_LINE_CHARACTERS]
 
 
 def start_logging(stream: TextIO | None = None) -> None:
@@ -58,9 +58,9 @@
     absl_logging.set_verbosity(absl_logging.INFO)
     handler = absl_logging.get_absl_handler()
     handler.python_handler.stream = stream or sys.stderr
-    handler.setFormatter(OneLine())
-    handler.addFilter(FewOfEach())
+    handler.setFormatter(SingleLineFormatter())
+    handler.addFilter(RateLimitFilter())
 
 
-def write(note: LogEvent) -> None:
+def log_event(note: LogEvent) -> None:
     absl_logging.get_absl_logger().info("%s", note.line(), extra={"event": note.event})
--- a/vetchusher/node/operator_api.py
+++ b/vetchusher/node/operator_api.py
@@ -20,25 +20,25 @@
 from aiohttp.http_exceptions import HttpProcessingError
 from returns.result import Failure, Result, Success
 
-from vetchusher.kinds import Fault, Kind
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.net.door import ClientLink, Door
 from vetchusher.net.plain import seconds_text
 
-from .callers import hung_up, waited_s
+from .callers import has_hung_up, unread_for_s
 
 log = logging.getLogger("vetchusher")
 
-PLACES = 256  # connections at once at a door
-MOST_BODY = 64 << 20  # bytes of a call, and of all that are read or settled at one time
-READ_S = 10.0  # from a call's head to the end of its body, and for an answer to be taken
-SETTLE_S = 8.0  # Danger: a call that is never settled would hold its place and its body for good
-ANSWER_S = 0.9  # a caller goes elsewhere after a second of silence, and later after a long body:
-ANSWER_BYTE_S = 12e-6  # 3 ms a route, of which the shortest takes some 240 bytes
-CLOSE_S = 1.0  # for calls under way when the door closes
-POLL_S = 0.02
-BACK_US = 500_000  # told to a caller where nothing says when to come back
-MOST_NAME = 255  # characters of a zone's or host's name
-PIECE = 1 << 16  # bytes of a long reading that are written between two looks at what backs it
+MAX_CONNECTIONS = 256  # connections at once at a door
+MAX_BODY_BYTES = 64 << 20  # bytes of a call, and of all that are read or settled at one time
+READ_TIMEOUT_S = 10.0  # from a call's head to the end of its body, and for an answer to be taken
+MAX_CALL_S = 8.0  # Danger: a call that is never settled would hold its place and its body for good
+CALLER_TIMEOUT_S = 0.9  # a caller goes elsewhere after a second of silence, and later after a long body:
+CALLER_TIMEOUT_PER_BYTE_S = 12e-6  # 3 ms a route, of which the shortest takes some 240 bytes
+CLOSE_TIMEOUT_S = 1.0  # for calls under way when the door closes
+CLOSE_POLL_S = 0.02
+DEFAULT_RETRY_AFTER_US = 500_000  # told to a caller where nothing says when to come back
+MAX_NAME_CHARACTERS = 255  # characters of a zone's or host's name
+WRITE_CHUNK_BYTES = 1 << 16  # bytes of a long reading that are written between two looks at what backs it
 
 
 # -- calls and their answers ---------------------------------------------------------------------
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Replaced:
+class ConfigurationReplaced:
     """It is in force, or a higher version is."""
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retrieved:
+class ConfigurationRetrieved:
     """:param body: the configuration as it was sent"""
 
     body: bytes
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskResolution:
+class ResolveAddresses:
     """:param name: the host that a client wants; it may be empty, as may the client's own places"""
 
     name: str
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Resolved:
+class AddressesResolved:
     """:param addresses: `host:port` of ingresses
     :param ttl_s: how long a client may hold on to them
     """
@@ -101,12 +101,14 @@
     ttl_s: float
 
 
-Call = ReplaceConfiguration | RetrieveConfiguration | InitiateEvacuation | TerminateEvacuation | AskResolution
-Answer = Replaced | Retrieved | EvacuationSet | Resolved
+Call = (
+    ReplaceConfiguration | RetrieveConfiguration | InitiateEvacuation | TerminateEvacuation | ResolveAddresses
+)
+Answer = ConfigurationReplaced | ConfigurationRetrieved | EvacuationSet | AddressesResolved
 
 
 @dataclass(slots=True, frozen=True)
-class Backed:
+class GuardedOutcome:
     """An outcome drawn from a state that may be overtaken: a reading, or a refusal for good.
 
     An acknowledgement needs no backing: what is synced on enough disks stays so.
@@ -114,108 +116,112 @@
     :param lasts: whether what it was drawn from still holds; asked right before the bytes leave
     """
 
-    outcome: Result[Any, Fault]
-    lasts: Callable[[], bool]
+    outcome: Result[Any, Error]
+    still_valid: Callable[[], bool]
 
-    def leaving(self) -> Result[Any, Fault]:
+    def checked_at_send(self) -> Result[Any, Error]:
         """The outcome as it may leave at this moment.
 
         Danger: a machine may stand still between the decision and its answer, and be followed meanwhile.
         """
-        final = not isinstance(self.outcome, Failure) or self.outcome.failure().kind is not Kind.NOT_SETTLED
-        return Failure(OVERTAKEN) if final and not self.lasts() else self.outcome
+        final = (
+            not isinstance(self.outcome, Failure) or self.outcome.failure().code is not ErrorCode.UNAVAILABLE
+        )
+        return Failure(STALE_OUTCOME) if final and not self.still_valid() else self.outcome
 
 
-OVERTAKEN = Fault(Kind.NOT_SETTLED, "what this was drawn from may be overtaken")
+STALE_OUTCOME = Error(ErrorCode.UNAVAILABLE, "what this was drawn from may be overtaken")
 # It may be cancelled at any time, as its caller may leave: what it began may then be in force or not.
-Settle = Callable[[Any], Awaitable[Result[Any, Fault] | Backed]]
-Refused = Callable[[Call, Fault], None]
+ExecuteCall = Callable[[Any], Awaitable[Result[Any, Error] | GuardedOutcome]]
+RejectionHook = Callable[[Call, Error], None]
 
 
 # -- what there is to call -----------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class OperatorRequest:
     """A call as it came: the named parts of its path, its query and its body."""
 
-    parts: dict[str, str]
+    path_parts: dict[str, str]
     query: dict[str, str]
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
+class PendingReply:
     """What came of a call; it is written only as it leaves."""
 
     call: Call
-    backed: Backed
+    outcome: GuardedOutcome
 
 
 @dataclass(slots=True, frozen=True)
-class Way:
+class Endpoint:
     """:param bodied: its body is a part of the call; else whatever comes is read and forgotten"""
 
     method: str
     path: re.Pattern[str]
-    read: Callable[[Asked], Result[Call, Fault]]
-    bodied: bool = False
+    parse: Callable[[OperatorRequest], Result[Call, Error]]
+    has_body: bool = False
 
 
-def replace(asked: Asked) -> Result[Call, Fault]:
+def replace(asked: OperatorRequest) -> Result[Call, Error]:
     return Success(ReplaceConfiguration(asked.body))
 
 
-def retrieve(asked: Asked) -> Result[Call, Fault]:
+def retrieve(asked: OperatorRequest) -> Result[Call, Error]:
     return Success(RetrieveConfiguration())
 
 
 def evacuate(
     call: type[InitiateEvacuation] | type[TerminateEvacuation],
-) -> Callable[[Asked], Result[Call, Fault]]:
-    def read(asked: Asked) -> Result[Call, Fault]:
-        zone = unquote(asked.parts["zone"])
+) -> Callable[[OperatorRequest], Result[Call, Error]]:
+    def read(asked: OperatorRequest) -> Result[Call, Error]:
+        zone = unquote(asked.path_parts["zone"])
         # Danger: the name becomes a row's key and goes into the log.
-        if not zone.isprintable() or len(zone) > MOST_NAME:
-            return Failure(Fault(Kind.INVALID, "zone: no name of one"))
+        if not zone.isprintable() or len(zone) > MAX_NAME_CHARACTERS:
+            return Failure(Error(ErrorCode.INVALID_ORDER, "zone: no name of one"))
         return Success(call(zone))
 
     return read
 
 
-def resolution(asked: Asked) -> Result[Call, Fault]:
-    return Success(AskResolution(*(asked.query.get(f, "")[:MOST_NAME] for f in ("name", "region", "zone"))))
+def resolution(asked: OperatorRequest) -> Result[Call, Error]:
+    return Success(
+        ResolveAddresses(*(asked.query.get(f, "")[:MAX_NAME_CHARACTERS] for f in ("name", "region", "zone")))
+    )
 
 
-CONTROL = (
-    Way("POST", re.compile("/configuration/replace"), replace, bodied=True),
-    Way("GET", re.compile("/configuration/retrieve"), retrieve),
-    Way("POST", re.compile("/evacuation/(?P<zone>[^/]+)/initiate"), evacuate(InitiateEvacuation)),
-    Way("POST", re.compile("/evacuation/(?P<zone>[^/]+)/terminate"), evacuate(TerminateEvacuation)),
+CONTROL_ENDPOINTS = (
+    Endpoint("POST", re.compile("/configuration/replace"), replace, has_body=True),
+    Endpoint("GET", re.compile("/configuration/retrieve"), retrieve),
+    Endpoint("POST", re.compile("/evacuation/(?P<zone>[^/]+)/initiate"), evacuate(InitiateEvacuation)),
+    Endpoint("POST", re.compile("/evacuation/(?P<zone>[^/]+)/terminate"), evacuate(TerminateEvacuation)),
 )
-DIRECTORY = (Way("GET", re.compile("/resolution"), resolution),)
+DIRECTORY_ENDPOINTS = (Endpoint("GET", re.compile("/resolution"), resolution),)
 
-WRITERS: dict[type, Callable[[Any], bytes]] = {
-    Replaced: lambda answer: b"{}",
-    Retrieved: lambda answer: bytes(answer.body),
+ENCODERS: dict[type, Callable[[Any], bytes]] = {
+    ConfigurationReplaced: lambda answer: b"{}",
+    ConfigurationRetrieved: lambda answer: bytes(answer.body),
     EvacuationSet: orjson.dumps,
-    Resolved: orjson.dumps,
+    AddressesResolved: orjson.dumps,
 }
 
 
-def written(outcome: Result[Answer, Fault]) -> web.Response:
+def response_of(outcome: Result[Answer, Error]) -> web.Response:
     """The one way from an outcome to what the caller gets."""
     if not isinstance(outcome, Failure):
         answer = outcome.unwrap()
-        return web.Response(body=WRITERS[type(answer)](answer), content_type="application/json")
+        return web.Response(body=ENCODERS[type(answer)](answer), content_type="application/json")
     fault = outcome.failure()
-    back_us = fault.retry_after_us or (BACK_US if fault.status == 503 else 0)
+    back_us = fault.retry_after_us or (DEFAULT_RETRY_AFTER_US if fault.status == 503 else 0)
     headers = {"Retry-After": seconds_text(back_us)} if back_us else None
-    body = orjson.dumps({"error": fault.kind, "text": fault.text})
+    body = orjson.dumps({"error": fault.code, "text": fault.text})
     return web.Response(status=fault.status, body=body, headers=headers, content_type="application/json")
 
 
-def refused(status: int, text: str, allow: Iterable[str] = ()) -> web.Response:
+def rejection(status: int, text: str, allow: Iterable[str] = ()) -> web.Response:
     """An answer of HTTP's own, before there is a call."""
     headers = {"Allow": ", ".join(sorted(allow))} if allow else None
     body = orjson.dumps({"error": "refused", "text": text})
@@ -224,64 +230,64 @@
     return response
 
 
-def busy() -> web.Response:
-    response = written(Failure(Fault(Kind.NOT_SETTLED, "too much at once")))
+def busy_response() -> web.Response:
+    response = response_of(Failure(Error(ErrorCode.UNAVAILABLE, "too much at once")))
     response.force_close()
     return response
 
 
-def overtaken() -> web.Response:
-    response = written(Failure(Fault(Kind.NOT_SETTLED, "this machine stood still")))
+def stale_response() -> web.Response:
+    response = response_of(Failure(Error(ErrorCode.UNAVAILABLE, "this machine stood still")))
     response.force_close()
     return response
 
 
-def patience_s(parts: list[bytes]) -> float:
+def caller_timeout_s(parts: list[bytes]) -> float:
     """Seconds for which a caller waits for the answer, from the last byte of its body."""
-    return min(ANSWER_S + sum(map(len, parts)) * ANSWER_BYTE_S, SETTLE_S)
+    return min(CALLER_TIMEOUT_S + sum(map(len, parts)) * CALLER_TIMEOUT_PER_BYTE_S, MAX_CALL_S)
 
 
 # -- the doors -----------------------------------------------------------------------------------
 
 
-class CallsDoor:
+class ApiListener:
     """It owns its connections, `PLACES` at most: each ends by its caller, by time, or in `close`."""
 
     def __init__(
         self,
-        ways: tuple[Way, ...],
-        settle: Settle,
+        endpoints: tuple[Endpoint, ...],
+        execute: ExecuteCall,
         address: tuple[str, int],
-        most_body: int = MOST_BODY,
-        refused: Refused | None = None,
+        max_body_bytes: int = MAX_BODY_BYTES,
+        on_rejected: RejectionHook | None = None,
     ) -> None:
         """:param refused: is told of each call that was read and could not be granted"""
-        self.ways = ways
-        self.settle = settle
-        self.refused = refused
+        self.endpoints = endpoints
+        self.execute = execute
+        self.on_rejected = on_rejected
         self.address = address
-        self.most_body = most_body
-        self.held = 0  # bytes of bodies that are read or settled now
+        self.max_body_bytes = max_body_bytes
+        self.buffered_bytes = 0  # bytes of bodies that are read or settled now
         self.closing = False
-        self.door: Door | None = None
+        self.listener: Door | None = None
 
     def open(self) -> None:
         """Listen, on the running loop.  :raises OSError: where the address cannot be had"""
         server = web.Server(self.handle, handler_cancellation=True, request_factory=self.make_request)
-        self.door = Door(asyncio.get_running_loop(), server, PLACES)
-        self.door.open(*self.address)
-        assert self.door.listener is not None
-        self.address = self.door.listener.getsockname()  # where any port was asked for: which it is
+        self.listener = Door(asyncio.get_running_loop(), server, MAX_CONNECTIONS)
+        self.listener.open(*self.address)
+        assert self.listener.listener is not None
+        self.address = self.listener.listener.getsockname()  # where any port was asked for: which it is
 
     async def close(self) -> None:
         """Let nobody in, give calls under way a moment, and end what is left."""
-        if self.door is None:
+        if self.listener is None:
             return
-        door, self.door, self.closing = self.door, None, True
+        door, self.listener, self.closing = self.listener, None, True
         await door.close()
-        end = door.loop.time() + CLOSE_S
+        end = door.loop.time() + CLOSE_TIMEOUT_S
         while door.links and door.loop.time() < end:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(CLOSE_POLL_S)
         door.stop()
         for link in list(door.links):
             link.wire.abort()
@@ -296,17 +302,17 @@
         link = request.protocol
         assert isinstance(link, ClientLink)
         try:
-            reply = await self.answer(request, link)
-            response = self.leaving(reply) if isinstance(reply, Reply) else reply
+            reply = await self.answer_request(request, link)
+            response = self.response_now(reply) if isinstance(reply, PendingReply) else reply
             if self.closing:
                 response.force_close()
             # A caller that has left: what it asked for stands, and nobody is there to be told.
             with contextlib.suppress(ConnectionError):
                 # Danger: who asks for long answers and reads none would hold them all.
-                async with asyncio.timeout(READ_S):
-                    long = isinstance(response.body, bytes) and len(response.body) > PIECE
-                    if isinstance(reply, Reply) and long:
-                        return await send_in_pieces(request, link, response, reply.backed.lasts)
+                async with asyncio.timeout(READ_TIMEOUT_S):
+                    long = isinstance(response.body, bytes) and len(response.body) > WRITE_CHUNK_BYTES
+                    if isinstance(reply, PendingReply) and long:
+                        return await send_in_chunks(request, link, response, reply.outcome.still_valid)
                     await response.prepare(request)
                     await response.write_eof()
                     await request.writer.drain()
@@ -316,80 +322,84 @@
             link.answered()
         return response
 
-    def leaving(self, reply: Reply) -> web.Response:
+    def response_now(self, reply: PendingReply) -> web.Response:
         """The answer of a call as it may leave now.  Nothing may wait between this and the writing."""
-        outcome = reply.backed.leaving()
-        if isinstance(outcome, Failure) and self.refused is not None:
-            self.refused(reply.call, outcome.failure())
-        return written(outcome)
+        outcome = reply.outcome.checked_at_send()
+        if isinstance(outcome, Failure) and self.on_rejected is not None:
+            self.on_rejected(reply.call, outcome.failure())
+        return response_of(outcome)
 
-    async def answer(self, request: web.BaseRequest, link: ClientLink) -> web.Response | Reply:
+    async def answer_request(self, request: web.BaseRequest, link: ClientLink) -> web.Response | PendingReply:
         path, _, _ = request.raw_path.partition("?")
-        found = [(way, match) for way in self.ways if (match := way.path.fullmatch(path)) is not None]
+        found = [(way, match) for way in self.endpoints if (match := way.path.fullmatch(path)) is not None]
         if not found:
-            return refused(404, "nothing is called this")
+            return rejection(404, "nothing is called this")
         way, match = next(((w, m) for w, m in found if w.method == request.method), (None, None))
         if way is None or match is None:
-            return refused(405, f"not by {request.method}", {w.method for w, _ in found})
+            return rejection(405, f"not by {request.method}", {w.method for w, _ in found})
         parts: list[bytes] = []
         try:
-            problem = await self.body(request, link, way, parts)
+            problem = await self.read_body(request, link, way, parts)
             if problem is not None:
                 return problem
-            waited = waited_s(link.wire)
-            if hung_up(link.wire) or waited >= patience_s(parts):
+            waited = unread_for_s(link.wire)
+            if has_hung_up(link.wire) or waited >= caller_timeout_s(parts):
                 # Danger: its caller has given the same order to another machine, and others since.
-                return overtaken()
-            asked = Asked(match.groupdict(), dict(request.query), b"".join(parts))
-            return await self.settled(way, asked, patience_s(parts) - waited)
+                return stale_response()
+            asked = OperatorRequest(match.groupdict(), dict(request.query), b"".join(parts))
+            return await self.execute_call(way, asked, caller_timeout_s(parts) - waited)
         finally:
-            self.held -= sum(map(len, parts))
+            self.buffered_bytes -= sum(map(len, parts))
 
-    async def body(
-        self, request: web.BaseRequest, link: ClientLink, way: Way, parts: list[bytes]
+    async def read_body(
+        self, request: web.BaseRequest, link: ClientLink, way: Endpoint, parts: list[bytes]
     ) -> web.Response | None:
         """Read the body into `parts`, counted in `held`; or the answer for one that cannot be had.
 
         Danger: a hundred long bodies at once would be more than the process may hold.
         """
-        if (request.content_length or 0) > self.most_body:
-            return refused(413, f"more than {self.most_body} bytes")
+        if (request.content_length or 0) > self.max_body_bytes:
+            return rejection(413, f"more than {self.max_body_bytes} bytes")
         if request.headers.get("Expect", "").lower() == "100-continue":
             link.wire.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         size = 0
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 async for part in request.content.iter_any():
                     size += len(part)
-                    if size > self.most_body:
-                        return refused(413, f"more than {self.most_body} bytes")
-                    if way.bodied:
-                        if self.held + len(part) > self.most_body:
-                            return busy()
+                    if size > self.max_body_bytes:
+                        return rejection(413, f"more than {self.max_body_bytes} bytes")
+                    if way.has_body:
+                        if self.buffered_bytes + len(part) > self.max_body_bytes:
+                            return busy_response()
                         parts.append(part)
-                        self.held += len(part)
+                        self.buffered_bytes += len(part)
         except TimeoutError:
-            return refused(408, f"not whole after {READ_S:g} s")
+            return rejection(408, f"not whole after {READ_TIMEOUT_S:g} s")
         except (web.RequestPayloadError, HttpProcessingError) as err:
-            return refused(400, " ".join(str(err).split())[:MOST_NAME])
+            return rejection(400, " ".join(str(err).split())[:MAX_NAME_CHARACTERS])
         return None
 
-    async def settled(self, way: Way, asked: Asked, left_s: float) -> web.Response | Reply:
+    async def execute_call(
+        self, way: Endpoint, asked: OperatorRequest, left_s: float
+    ) -> web.Response | PendingReply:
         """:param left_s: for which the caller still waits"""
-        read = way.read(asked)
+        read = way.parse(asked)
         if isinstance(read, Failure):
-            return written(read)
+            return response_of(read)
         call = read.unwrap()
-        outcome: Result[Answer, Fault] | Backed
+        outcome: Result[Answer, Error] | GuardedOutcome
         try:
             async with asyncio.timeout(left_s):
-                outcome = await self.settle(call)
+                outcome = await self.execute(call)
         except TimeoutError:
-            outcome = Failure(Fault(Kind.NOT_SETTLED, f"no clear answer in {left_s:.1f} s"))
-        return Reply(call, outcome if isinstance(outcome, Backed) else Backed(outcome, lambda: True))
+            outcome = Failure(Error(ErrorCode.UNAVAILABLE, f"no clear answer in {left_s:.1f} s"))
+        return PendingReply(
+            call, outcome if isinstance(outcome, GuardedOutcome) else GuardedOutcome(outcome, lambda: True)
+        )
 
 
-async def send_in_pieces(
+async def send_in_chunks(
     request: web.BaseRequest, link: ClientLink, whole: web.Response, lasts: Callable[[], bool]
 ) -> web.StreamResponse:
     """A long answer, broken off where what backs it ends before its last piece is written.
@@ -403,31 +413,31 @@
     if whole.keep_alive is False:
         response.force_close()
     await response.prepare(request)
-    for begin in range(0, len(body), PIECE):
+    for begin in range(0, len(body), WRITE_CHUNK_BYTES):
         if begin and not lasts():
             link.wire.abort()
             return response
-        await response.write(body[begin : begin + PIECE])
+        await response.write(body[begin : begin + WRITE_CHUNK_BYTES])
     await response.write_eof()
     await request.writer.drain()
     return response
 
 
-class ControlDoor(CallsDoor):
+class ControlApi(ApiListener):
     """Operators' orders."""
 
     def __init__(
         self,
-        settle: Settle,
+        execute: ExecuteCall,
         address: tuple[str, int],
-        most_body: int = MOST_BODY,
-        refused: Refused | None = None,
+        max_body_bytes: int = MAX_BODY_BYTES,
+        on_rejected: RejectionHook | None = None,
     ) -> None:
-        super().__init__(CONTROL, settle, address, most_body, refused)
+        super().__init__(CONTROL_ENDPOINTS, execute, address, max_body_bytes, on_rejected)
 
 
-class DirectoryDoor(CallsDoor):
+class DirectoryApi(ApiListener):
     """Clients' questions where to go."""
 
-    def __init__(self, settle: Settle, address: tuple[str, int]) -> None:
-        super().__init__(DIRECTORY, settle, address, MOST_NAME)
+    def __init__(self, execute: ExecuteCall, address: tuple[str, int]) -> None:
+        super().__init__(DIRECTORY_ENDPOINTS, execute, address, MAX_NAME_CHARACTERS)
--- a/vetchusher/node/paths.py
+++ b/vetchusher/node/paths.py
@@ -17,21 +17,26 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.events import Event, LogEvent
 
-MOST_FRAME = 20 * 1024 * 1024
-MOST_WAITING = 8 * 1024 * 1024  # bytes written to one peer and not yet sent; what comes then is dropped
-MOST_ACCEPTED = 1024
-CONNECT_S, MOST_CONNECT_S = 0.4, 1.6  # for a connection to come up: twice as long after each that did not
+MAX_FRAME_BYTES = 20 * 1024 * 1024
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes written to one peer and not yet sent; what comes then is dropped
+MAX_ACCEPTED = 1024
+CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S = (
+    0.4,
+    1.6,
+)  # for a connection to come up: twice as long after each that did not
 CONNECT_PAUSE_S = 0.2  # after a connection that failed
-LETTER_S = 0.7  # a message that has waited so long for a connection is stale
-USED_S = 3.0  # a way that something was sent on so lately stays, whoever names its end
-SILENT_S = 1.2  # a connection on which a question timed out and nothing has come for so long is given up
-UNSENT_MS = 1_500  # bytes that no acknowledgement has come for: the path is cut
+MESSAGE_TTL_S = 0.7  # a message that has waited so long for a connection is stale
+KEEP_USED_S = 3.0  # a way that something was sent on so lately stays, whoever names its end
+SILENCE_TIMEOUT_S = (
+    1.2  # a connection on which a question timed out and nothing has come for so long is given up
+)
+TCP_USER_TIMEOUT_MS = 1_500  # bytes that no acknowledgement has come for: the path is cut
 
 
-def trim(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """Danger: behind a cut a connection hangs for minutes unless it is told how long to wait."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNSENT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -41,18 +46,18 @@
 class Channel(asyncio.Protocol):
     """One connection: bytes in, frames out of them, and back."""
 
-    def __init__(self, paths: Paths, peer: str = "") -> None:
+    def __init__(self, paths: PeerNetwork, peer: str = "") -> None:
         self.paths = paths
         self.peer = peer  # ip of whom this process connected to; empty on an accepted connection
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.number = 0  # of the connections of this process, in the order in which they began
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.heard_at = self.paths.loop.time()
-        trim(transport.get_extra_info("socket"))
+        self.last_received_at = self.paths.loop.time()
+        set_socket_options(transport.get_extra_info("socket"))
         self.paths.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -60,11 +65,11 @@
         self.paths.closed(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self.paths.loop.time()
+        self.last_received_at = self.paths.loop.time()
         self.buffer += data
         while len(self.buffer) >= 4:
             size = int.from_bytes(self.buffer[:4], "big")
-            if size > MOST_FRAME:
+            if size > MAX_FRAME_BYTES:
                 self.drop()
                 return
             if len(self.buffer) < 4 + size:
@@ -74,7 +79,7 @@
             try:
                 frame = wire.Frame.FromString(raw)
             except DecodeError:
-                self.paths.note(LogEvent(Event.NEWS_UNUSABLE, {"fellow": self.peer or "accepted"}))
+                self.paths.log_event(LogEvent(Event.UPDATE_REJECTED, {"fellow": self.peer or "accepted"}))
                 self.drop()
                 return
             self.paths.received(frame, self)
@@ -83,7 +88,7 @@
         """:param more: bytes of a frame that go into the same one"""
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.transport.get_write_buffer_size() > MOST_WAITING:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             return False
         raw = frame.SerializeToString() + more
         self.paths.bytes_out += len(raw) + 4
@@ -100,33 +105,33 @@
             self.transport.abort()
 
 
-class Peer:
+class PeerConnection:
     """The way to one other process: its connection, or messages that wait for one."""
 
     def __init__(self) -> None:
         self.channel: Channel | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.again_at = 0.0
-        self.patience_s = CONNECT_S
+        self.patience_s = CONNECT_TIMEOUT_S
         self.used_at = 0.0  # something was last to be sent
         self.messages: deque[tuple[float, wire.Frame]] = deque(maxlen=64)
 
 
-class Paths:
+class PeerNetwork:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         ip: str,
         zone: str,
         port: int,
-        serve: Callable[[wire.Frame, Channel], None],
-        note: Callable[[LogEvent], None],
+        on_frame: Callable[[wire.Frame, Channel], None],
+        log_event: Callable[[LogEvent], None],
     ) -> None:
         """:param serve: takes each frame that is no answer; answers with `Channel.reply`"""
         self.loop = loop
         self.ip, self.zone, self.port = ip, zone, port
-        self.serve, self.note = serve, note
-        self.peers: dict[str, Peer] = {}
+        self.on_frame, self.log_event = on_frame, log_event
+        self.peers: dict[str, PeerConnection] = {}
         self.accepted: set[Channel] = set()
         self.calls: dict[int, tuple[asyncio.Future[wire.Frame | None], Channel | None]] = {}
         self.next_call = 1
@@ -159,7 +164,7 @@
         channel.number = self.connections
         if channel.peer:
             return
-        if len(self.accepted) >= MOST_ACCEPTED:
+        if len(self.accepted) >= MAX_ACCEPTED:
             channel.drop()
             return
         self.accepted.add(channel)
@@ -174,15 +179,15 @@
                 del self.calls[number]
                 future.set_result(None)
 
-    def peer(self, ip: str) -> Peer:
-        return self.peers.setdefault(ip, Peer())
+    def peer(self, ip: str) -> PeerConnection:
+        return self.peers.setdefault(ip, PeerConnection())
 
-    def keep(self, ips: set[str]) -> None:
+    def keep_peers(self, ips: set[str]) -> None:
         """Drop the ways to those that are no longer named by anybody.
 
         Danger: a machine that has forgotten all names only its seeds, and has to ask everybody.
         """
-        used = self.loop.time() - USED_S
+        used = self.loop.time() - KEEP_USED_S
         for ip in [ip for ip, peer in self.peers.items() if ip not in ips and peer.used_at <= used]:
             peer = self.peers.pop(ip)
             if peer.connecting is not None:
@@ -200,7 +205,7 @@
             peer.connecting = self.loop.create_task(self.connect(ip, peer))
         return None
 
-    async def connect(self, ip: str, peer: Peer) -> None:
+    async def connect(self, ip: str, peer: PeerConnection) -> None:
         # Danger: what asks a machine without power for a connection is lost, and the kernel asks again only
         # after a second, while the machine may be back at once.
         try:
@@ -210,12 +215,12 @@
                 )
         except (OSError, TimeoutError):
             peer.again_at = self.loop.time() + CONNECT_PAUSE_S
-            peer.patience_s = min(MOST_CONNECT_S, 2 * peer.patience_s)
+            peer.patience_s = min(MAX_CONNECT_TIMEOUT_S, 2 * peer.patience_s)
             peer.messages.clear()
             return
         finally:
             peer.connecting = None
-        peer.channel, peer.patience_s = channel, CONNECT_S
+        peer.channel, peer.patience_s = channel, CONNECT_TIMEOUT_S
         now = self.loop.time()
         while peer.messages:
             stale_at, frame = peer.messages.popleft()
@@ -224,16 +229,16 @@
 
     # -- messages and questions ----------------------------------------------------------
 
-    def tell(self, ip: str, frame: wire.Frame) -> None:
+    def send(self, ip: str, frame: wire.Frame) -> None:
         """Send without waiting for anything; it may be lost."""
         self.sign(frame)
         channel = self.reach(ip)
         if channel is not None:
             channel.write(frame)
         else:
-            self.peer(ip).messages.append((self.loop.time() + LETTER_S, frame))
+            self.peer(ip).messages.append((self.loop.time() + MESSAGE_TTL_S, frame))
 
-    async def ask(self, ip: str, frame: wire.Frame, patience_s: float) -> wire.Frame | None:
+    async def request(self, ip: str, frame: wire.Frame, patience_s: float) -> wire.Frame | None:
         """The answer, or nothing: no connection, none in time."""
         end = self.loop.time() + patience_s
         channel = self.reach(ip)
@@ -256,8 +261,8 @@
             async with asyncio.timeout_at(end):
                 return await future
         except TimeoutError:
-            if self.loop.time() - channel.heard_at > SILENT_S:
-                self.note(LogEvent(Event.PEER_LOST, {"fellow": ip}))
+            if self.loop.time() - channel.last_received_at > SILENCE_TIMEOUT_S:
+                self.log_event(LogEvent(Event.PEER_DISCONNECTED, {"fellow": ip}))
                 channel.drop()
             return None
         finally:
@@ -265,7 +270,7 @@
 
     def received(self, frame: wire.Frame, channel: Channel) -> None:
         if not frame.reply:
-            self.serve(frame, channel)
+            self.on_frame(frame, channel)
             return
         # Danger: numbers begin again with each life of a process.  A connection ends with either of its two,
         # so on the connection on which a question was asked its number stands for that question alone.
--- a/vetchusher/node/persistence.py
+++ b/vetchusher/node/persistence.py
@@ -19,35 +19,35 @@
         self,
         loop: asyncio.AbstractEventLoop,
         store: Store,
-        saved: Callable[[int, bool], None],
-        note: Callable[[LogEvent], None],
+        on_persisted: Callable[[int, bool], None],
+        log_event: Callable[[LogEvent], None],
     ) -> None:
         """:param saved: is told each token, and whether its record is on the disk"""
-        self.loop, self.store, self.saved, self.note = loop, store, saved, note
+        self.loop, self.store, self.on_persisted, self.log_event = loop, store, on_persisted, log_event
         self.thread = ThreadPoolExecutor(1, "control")
-        self.waiting: list[tuple[int, PersistentState]] = []
-        self.writing: asyncio.Task[None] | None = None
-        self.refused = ""  # why the last record is not on the disk; empty: it is
+        self.pending: list[tuple[int, PersistentState]] = []
+        self.write_task: asyncio.Task[None] | None = None
+        self.failure_reason = ""  # why the last record is not on the disk; empty: it is
 
-    def save(self, token: int, kept: PersistentState) -> None:
-        self.waiting.append((token, kept))
-        if self.writing is None:
-            self.writing = self.loop.create_task(self.write())
+    def save(self, token: int, contents: PersistentState) -> None:
+        self.pending.append((token, contents))
+        if self.write_task is None:
+            self.write_task = self.loop.create_task(self.write())
 
     async def write(self) -> None:
         try:
-            while self.waiting:
-                tokens, kept = [token for token, _ in self.waiting], self.waiting[-1][1]
-                self.waiting.clear()
-                outcome = await self.loop.run_in_executor(self.thread, self.store.save, kept)
-                good = isinstance(outcome, Success)
-                self.refused = "" if good else outcome.failure().text
-                if not good:
-                    self.note(LogEvent(Event.STORE_FAILED, {"why": self.refused}))
+            while self.pending:
+                tokens, contents = [token for token, _ in self.pending], self.pending[-1][1]
+                self.pending.clear()
+                outcome = await self.loop.run_in_executor(self.thread, self.store.save, contents)
+                synced = isinstance(outcome, Success)
+                self.failure_reason = "" if synced else outcome.failure().text
+                if not synced:
+                    self.log_event(LogEvent(Event.STORE_FAILED, {"why": self.failure_reason}))
                 for token in tokens:
-                    self.saved(token, good)
+                    self.on_persisted(token, synced)
         finally:
-            self.writing = None
+            self.write_task = None
 
     def close(self) -> None:
         self.thread.shutdown(wait=False)
--- a/vetchusher/node/process.py
+++ b/vetchusher/node/process.py
@@ -20,17 +20,17 @@
 from vetchusher.events import Event, LogEvent
 from vetchusher.settings.node import NodeSettings, read_node
 
-from .log import write
-from .paths import Channel, Paths
+from .log import log_event
+from .paths import Channel, PeerNetwork
 
-LOOK_S = 1.0  # between two looks at the settings file, which may change without a signal
-MOST_CONFIGURATION = (
+SETTINGS_POLL_S = 1.0  # between two looks at the settings file, which may change without a signal
+MAX_CONFIGURATION_BYTES = (
     16 << 20
 )  # bytes: with what is around it, it has to fit into one frame (`paths.MOST_FRAME`)
-PARTS = (
+MEMORY_FRACTION = (
     64  # of memory, one of them for configurations: of the worst form, one takes 36 times its length to read
 )
-END_S = 0.4  # of the grace: kept for taking things apart
+TEARDOWN_S = 0.4  # of the grace: kept for taking things apart
 
 
 class Part(Protocol):
@@ -40,14 +40,14 @@
 
     async def run(self) -> None: ...
 
-    def reseed(self, node: NodeSettings) -> None: ...
+    def update_settings(self, node: NodeSettings) -> None: ...
 
-    def leave(self) -> None: ...
+    def begin_shut_down(self) -> None: ...
 
     async def close(self, deadline_s: float) -> None: ...
 
 
-class Door(Protocol):
+class Listener(Protocol):
     def open(self) -> None: ...
 
     async def close(self) -> None: ...
@@ -57,54 +57,56 @@
     return time.monotonic_ns() // 1000
 
 
-def most_configuration(node: NodeSettings) -> int:
+def max_configuration_bytes(node: NodeSettings) -> int:
     """Bytes that an operator's configuration may have, and all that come at one time."""
-    return min(MOST_CONFIGURATION, node.limits.memory_mb * (1 << 20) // PARTS)
+    return min(MAX_CONFIGURATION_BYTES, node.limits.memory_mb * (1 << 20) // MEMORY_FRACTION)
 
 
 class Process:
     def __init__(self, loop: asyncio.AbstractEventLoop, node: NodeSettings, path: str) -> None:
         self.loop, self.node, self.path = loop, node, path
         self.rng = random.Random(int.from_bytes(os.urandom(8), "big"))
-        self.note: Callable[[LogEvent], None] = write
-        self.paths = Paths(loop, node.ip_address, node.zone, node.internal_ports[0], self.serve, self.note)
+        self.log_event: Callable[[LogEvent], None] = log_event
+        self.paths = PeerNetwork(
+            loop, node.ip_address, node.zone, node.internal_ports[0], self.serve, self.log_event
+        )
         self.parts: list[Part] = []
-        self.doors: list[Door] = []
-        self.stop = asyncio.Event()
-        self.seen = self.look()
+        self.listeners: list[Listener] = []
+        self.stop_requested = asyncio.Event()
+        self.settings_version = self.read_settings_version()
 
     def serve(self, frame: wire.Frame, channel: Channel) -> None:
         for part in self.parts:
             part.serve(frame, channel)
 
-    async def begin(self) -> str:
+    async def start_parts(self) -> str:
         """Put together what the settings ask for; a line if that cannot be done."""
         node = self.node
         if node.data_directory:
-            fault = await self.begin_control()
+            fault = await self.start_control()
             if fault:
                 return fault
         if "edge" in node.serves:
             from .edge_node import EdgeNode
 
-            edge = EdgeNode(self.loop, node, self.paths, self.rng, steady_us, self.note)
+            edge = EdgeNode(self.loop, node, self.paths, self.rng, steady_us, self.log_event)
             self.parts.append(edge)
             await edge.open()
             if node.listen.directory is not None and not node.data_directory:
-                from .operator_api import DirectoryDoor
+                from .operator_api import DirectoryApi
 
-                door = DirectoryDoor(edge.settle, node.listen.directory)
-                self.doors.append(door)
+                door = DirectoryApi(edge.execute, node.listen.directory)
+                self.listeners.append(door)
                 door.open()
         await self.paths.open()
         return ""
 
-    async def begin_control(self) -> str:
+    async def start_control(self) -> str:
         from vetchusher.control import Store
         from vetchusher.distribution.snapshot import SnapshotStore
 
         from .control_node import ControlNode
-        from .operator_api import ControlDoor, DirectoryDoor
+        from .operator_api import ControlApi, DirectoryApi
 
         node = self.node
         opened = Store.open(node.data_directory, node.limits.disk_mb)
@@ -118,62 +120,70 @@
                 kept = found
             case Failure(fault):
                 # What cannot be read whole is forgotten: this machine votes for nothing until it has learnt.
-                self.note(LogEvent(Event.STORE_FAILED, {"why": fault.text}))
+                self.log_event(LogEvent(Event.STORE_FAILED, {"why": fault.text}))
                 first_start = False
         if not first_start or store.imported_state is not None:
             node = replace(node, first_start=False)
         shelf = SnapshotStore.open(node.data_directory, node.limits.disk_mb)
         if isinstance(shelf, Failure):
-            self.note(LogEvent(Event.STORE_FAILED, {"why": shelf.failure().text}))
+            self.log_event(LogEvent(Event.STORE_FAILED, {"why": shelf.failure().text}))
         control_node = ControlNode(
-            self.loop, node, self.paths, store, kept, shelf.value_or(None), self.rng, steady_us, self.note
+            self.loop,
+            node,
+            self.paths,
+            store,
+            kept,
+            shelf.value_or(None),
+            self.rng,
+            steady_us,
+            self.log_event,
         )
         self.parts.append(control_node)
         if node.listen.control is not None:
-            most = most_configuration(node)
-            self.doors.append(
-                ControlDoor(control_node.settle, node.listen.control, most, control_node.refused)
+            most = max_configuration_bytes(node)
+            self.listeners.append(
+                ControlApi(control_node.execute, node.listen.control, most, control_node.on_rejected)
             )
         if node.listen.directory is not None:
-            self.doors.append(DirectoryDoor(control_node.settle, node.listen.directory))
-        for door in self.doors:
+            self.listeners.append(DirectoryApi(control_node.execute, node.listen.directory))
+        for door in self.listeners:
             door.open()
         return ""
 
     async def run(self) -> int:
-        fault = await self.begin()
+        fault = await self.start_parts()
         if fault:
             print(fault, file=sys.stderr)
             return 2
         gc.freeze()
         gc.enable()
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.stop.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.read_again)
-        self.note(
+            self.loop.add_signal_handler(number, self.stop_requested.set)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
+        self.log_event(
             LogEvent(
                 Event.STARTED, {"node": self.node.node_name, "serves": ",".join(sorted(self.node.serves))}
             )
         )
         tasks = [self.loop.create_task(part.run()) for part in self.parts]
         tasks.append(self.loop.create_task(self.watch_settings()))
-        await self.stop.wait()
-        self.note(LogEvent(Event.STOPPING))
-        end = self.loop.time() + max(0.5, self.node.bounds.grace_s - END_S)
+        await self.stop_requested.wait()
+        self.log_event(LogEvent(Event.STOPPING))
+        end = self.loop.time() + max(0.5, self.node.bounds.grace_s - TEARDOWN_S)
         for part in self.parts:
-            part.leave()
+            part.begin_shut_down()
         await asyncio.gather(*(part.close(end) for part in self.parts))
-        for door in self.doors:
+        for door in self.listeners:
             await door.close()
         for task in tasks:
             task.cancel()
         await self.paths.close()
-        self.note(LogEvent(Event.STOPPED))
+        self.log_event(LogEvent(Event.STOPPED))
         return 0
 
     # -- settings that change ---------------------------------------------------------------
 
-    def look(self) -> tuple[int, int]:
+    def read_settings_version(self) -> tuple[int, int]:
         try:
             found = os.stat(self.path)
         except OSError:
@@ -182,21 +192,21 @@
 
     async def watch_settings(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self.look() != self.seen:
-                self.read_again()
+            await asyncio.sleep(SETTINGS_POLL_S)
+            if self.read_settings_version() != self.settings_version:
+                self.reload_settings()
 
-    def read_again(self) -> None:
+    def reload_settings(self) -> None:
         """Take new seeds from the settings file; one that cannot be used changes nothing."""
-        self.seen = self.look()
+        self.settings_version = self.read_settings_version()
         match read_node(self.path):
             case Success(node):
                 self.node = node
                 for part in self.parts:
-                    part.reseed(node)
-                self.note(LogEvent(Event.SETTINGS_READ_AGAIN))
+                    part.update_settings(node)
+                self.log_event(LogEvent(Event.SETTINGS_RELOADED))
             case Failure(fault):
-                self.note(LogEvent(Event.SETTINGS_UNUSABLE, {"why": fault.text}))
+                self.log_event(LogEvent(Event.SETTINGS_REJECTED, {"why": fault.text}))
 
 
 def run(settings: NodeSettings, path: str) -> int:
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -18,8 +18,8 @@
 from returns.result import Failure
 
 from vetchusher.discovery.server import Server
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
-from vetchusher.kinds import Fault, Kind
 from vetchusher.net.door import Bounds, ClientLink, Door
 from vetchusher.net.links import Streamed
 from vetchusher.net.plain import seconds_text
@@ -42,7 +42,7 @@
 from vetchusher.settings.configuration import ClientLimits, Configuration
 
 from .attempts import Attempt, Attempts, Got, Matter
-from .callers import hung_up, waited_s
+from .callers import has_hung_up, unread_for_s
 
 log = logging.getLogger("vetchusher")
 
@@ -100,7 +100,7 @@
         self.attempts: dict[int, Attempt] = {}
         self.got: dict[int, Got] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.answer: asyncio.Future[Fault | Got] = front.loop.create_future()
+        self.answer: asyncio.Future[Error | Got] = front.loop.create_future()
 
     def start(self) -> None:
         self.do(self.request.start(self.front.now()))
@@ -117,7 +117,7 @@
                 self.do(self.request.ended(now, number, seen, prompt))
         except Exception:  # whatever fails here, the client is owed an answer
             log.exception("a request's next step failed")
-            self.settle(Fault(Kind.MAY_HAVE_RUN, "failed"))
+            self.settle(Error(ErrorCode.MAYBE_EXECUTED, "failed"))
 
     def late(self) -> None:
         self.do(self.request.late(self.front.now()))
@@ -139,7 +139,7 @@
             self.front.note(note)
         self.request.notes.clear()
 
-    def settle(self, answer: Fault | Got) -> None:
+    def settle(self, answer: Error | Got) -> None:
         if not self.answer.done():
             self.answer.set_result(answer)
         else:
@@ -159,7 +159,7 @@
             give_back(got)
 
 
-def give_back(answer: Fault | Got) -> None:
+def give_back(answer: Error | Got) -> None:
     if isinstance(answer, Got) and isinstance(answer.body, Streamed):
         answer.body.close()
 
@@ -208,7 +208,7 @@
         self.ground.configure(configuration)
         self.limits = configuration.limits
         self.bound()
-        self.note(LogEvent(Event.CONFIGURATION_IN_FORCE, {"version": configuration.version}))
+        self.note(LogEvent(Event.CONFIGURATION_APPLIED, {"version": configuration.version}))
 
     def bound(self) -> None:
         bounds, limits = self.door.bounds, self.limits
@@ -256,7 +256,7 @@
         facts: dict[str, object] = {name: count for name, count in sorted(self.ends.items())}
         self.ends.clear()
         return LogEvent(
-            Event.REQUESTS, facts | {"open": len(self.tries.attempts), "clients": len(self.door.links)}
+            Event.REQUEST_FIGURES, facts | {"open": len(self.tries.attempts), "clients": len(self.door.links)}
         )
 
     def make_request(
@@ -280,9 +280,11 @@
         # Danger: to a client of HTTP/1.0 a chunked answer cut short would look whole; after a head that asks
         # for another protocol the reader takes the body for that.
         if request.version != HttpVersion11 or ("Upgrade" in request.headers and request.body_exists):
-            return self.refuse(request, Fault(Kind.UNREADABLE, "this protocol is not spoken here"))
+            return self.refuse(
+                request, Error(ErrorCode.MALFORMED_REQUEST, "this protocol is not spoken here")
+            )
         # Danger: in a process that stood still it lay unread, and its client's time went on.
-        arrived_at = self.now() - int(waited_s(link.wire) * 1e6)
+        arrived_at = self.now() - int(unread_for_s(link.wire) * 1e6)
         head = Head(request.method, request.raw_path, list(request.headers.items()), arrived_at)
         judged = judge(self.ground, head)
         if isinstance(judged, Failure):
@@ -292,11 +294,13 @@
         try:
             if len(self.tries.attempts) >= self.most_tries:
                 # Danger: waiting for a connection here would look like servers that let nobody connect.
-                return self.refuse(request, Fault(Kind.NO_SERVER, "no connection is free", BUSY_AGAIN_US))
+                return self.refuse(
+                    request, Error(ErrorCode.NO_SERVER_AVAILABLE, "no connection is free", BUSY_AGAIN_US)
+                )
             if request.body_exists and (fault := await self.read(request, link, body, way.deadline)):
                 return self.refuse(request, fault)
-            if hung_up(link.wire):
-                return self.refuse(request, Fault(Kind.NEVER_RAN, "its client has left"))
+            if has_hung_up(link.wire):
+                return self.refuse(request, Error(ErrorCode.NOT_EXECUTED, "its client has left"))
             return await self.serve(request, link, way, body)
         finally:
             self.held -= sum(map(len, body))
@@ -309,7 +313,7 @@
         try:
             flow.start()
             answer = await flow.answer
-            if isinstance(answer, Fault):
+            if isinstance(answer, Error):
                 return self.refuse(request, answer)
             self.ends[f"{answer.status // 100}xx"] += 1
             headers = CIMultiDict(answer.headers)
@@ -351,13 +355,13 @@
 
     async def read(
         self, request: web.BaseRequest, link: ClientLink, body: list[bytes], deadline: int
-    ) -> Fault | None:
+    ) -> Error | None:
         """The whole body into `body`, or why not."""
         stated = request.content_length or 0
         if stated > self.limits.body_bytes:
-            return Fault(Kind.BODY_TOO_LONG, "the body is too long")
+            return Error(ErrorCode.BODY_TOO_LARGE, "the body is too long")
         if self.held + stated > self.most_held:
-            return Fault(Kind.NO_SERVER, "too many bodies are held", BUSY_AGAIN_US)
+            return Error(ErrorCode.NO_SERVER_AVAILABLE, "too many bodies are held", BUSY_AGAIN_US)
         if request.headers.get("Expect", "").lower() == "100-continue":
             link.wire.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         size = 0
@@ -368,21 +372,21 @@
                     size += len(piece)
                     self.held += len(piece)
                     if size > self.limits.body_bytes:
-                        return Fault(Kind.BODY_TOO_LONG, "the body is too long")
+                        return Error(ErrorCode.BODY_TOO_LARGE, "the body is too long")
                     if self.held > self.most_held:
-                        return Fault(Kind.NO_SERVER, "too many bodies are held", BUSY_AGAIN_US)
+                        return Error(ErrorCode.NO_SERVER_AVAILABLE, "too many bodies are held", BUSY_AGAIN_US)
         except TimeoutError:
-            return Fault(Kind.SLOW_CLIENT, "the body did not come in time")
+            return Error(ErrorCode.CLIENT_TIMEOUT, "the body did not come in time")
         except (aiohttp.ClientError, web.RequestPayloadError, ValueError):
-            return Fault(Kind.UNREADABLE, "the body cannot be read")
+            return Error(ErrorCode.MALFORMED_REQUEST, "the body cannot be read")
         return None
 
-    def refuse(self, request: web.BaseRequest, fault: Fault) -> web.StreamResponse:
-        self.ends[fault.kind.value] += 1
+    def refuse(self, request: web.BaseRequest, fault: Error) -> web.StreamResponse:
+        self.ends[fault.code.value] += 1
         headers = {"Retry-After": seconds_text(fault.retry_after_us)} if fault.retry_after_us else None
         response = web.Response(status=fault.status, text=fault.text, headers=headers)
         if (
-            fault.kind in (Kind.UNREADABLE, Kind.BODY_TOO_LONG, Kind.SLOW_CLIENT)
+            fault.code in (ErrorCode.MALFORMED_REQUEST, ErrorCode.BODY_TOO_LARGE, ErrorCode.CLIENT_TIMEOUT)
             or not request.content.at_eof()
         ):
             response.force_close()  # what still comes of it must not be taken for the next request
--- a/vetchusher/node/repair.py
+++ b/vetchusher/node/repair.py
@@ -26,8 +26,8 @@
 from .persistence import Persister
 
 Work = ScanRows | FetchRows | RewriteRows | RepairCopy
-MOST_WAITING = 8
-LETTERS = frozenset(("compare", "compared", "rows_asked", "rows_told"))
+MAX_PENDING = 8
+REPAIR_MESSAGES = frozenset(("compare", "compared", "rows_asked", "rows_told"))
 
 
 class RepairDriver:
@@ -35,74 +35,80 @@
 
     def __init__(
         self,
-        me: str,
-        member: Replica,
-        saving: Persister,
+        own_ip: str,
+        replica: Replica,
+        persister: Persister,
         rng: random.Random,
         now: Callable[[], int],
         feed: Callable[[control.Input], None],
-        carry: Callable[[control.Send | LogEvent], None],
+        perform: Callable[[control.Send | LogEvent], None],
     ) -> None:
         """:param feed: takes inputs of the control state; `carry`: what it would have sent or noted"""
-        self.member, self.saving, self.now, self.feed, self.carry = member, saving, now, feed, carry
-        self.repair = CopyRepair(me, RepairTiming(), rng, now())
-        self.waiting: deque[Work] = deque()
+        self.replica, self.persister, self.now, self.feed, self.perform = (
+            replica,
+            persister,
+            now,
+            feed,
+            perform,
+        )
+        self.repair = CopyRepair(own_ip, RepairTiming(), rng, now())
+        self.pending: deque[Work] = deque()
         self.task: asyncio.Task[None] | None = None
 
     def tick(self) -> None:
-        member = self.member
-        kept = self.saving.store.copy
-        copy = kept if member.copy is not None else None
+        member = self.replica
+        stored_copy = self.persister.store.copy
+        copy = stored_copy if member.copy is not None else None
         leads = member.is_leader(self.now())
-        self.take(
+        self.handle(
             ReplicaStatus(
                 member.primary_ip,
                 leads,
                 state_stamp(member.committed),
                 copy,
-                kept.generation if kept else None,
+                stored_copy.generation if stored_copy else None,
             )
         )
 
-    def heard(self, event: control.Received) -> None:
-        self.take(event)
+    def on_message(self, event: control.Received) -> None:
+        self.handle(event)
 
-    def take(self, event: Input) -> None:
+    def handle(self, event: Input) -> None:
         for out in self.repair.handle(self.now(), event):
             if isinstance(out, control.Send | LogEvent):
-                self.carry(out)
+                self.perform(out)
             elif (
-                not isinstance(out, FetchRows) or len(self.waiting) < MOST_WAITING
+                not isinstance(out, FetchRows) or len(self.pending) < MAX_PENDING
             ):  # who asked gives up, and asks
-                self.waiting.append(out)
-        if self.task is None and self.waiting:
-            self.task = self.saving.loop.create_task(self.work())
+                self.pending.append(out)
+        if self.task is None and self.pending:
+            self.task = self.persister.loop.create_task(self.work())
 
     async def work(self) -> None:
         try:
-            while self.waiting:
-                await self.do(self.waiting.popleft())
+            while self.pending:
+                await self.run_in_store_thread(self.pending.popleft())
         finally:
             self.task = None
 
-    async def do(self, out: Work) -> None:
+    async def run_in_store_thread(self, out: Work) -> None:
         """Danger: only the store's own thread may touch it while the process saves."""
-        run, thread, store = self.saving.loop.run_in_executor, self.saving.thread, self.saving.store
+        run, thread, store = self.persister.loop.run_in_executor, self.persister.thread, self.persister.store
         match out:
             case ScanRows():
-                self.take(await run(thread, store.scan))
+                self.handle(await run(thread, store.scan))
             case FetchRows():
-                self.take(RowsFetched(out, await run(thread, store.read_leaves, out.stamp, out.leaves)))
+                self.handle(RowsFetched(out, await run(thread, store.read_leaves, out.stamp, out.leaves)))
             case RewriteRows():
                 await run(thread, store.forget_rows)
                 self.feed(control.CopyRepaired(None))
             case RepairCopy():
                 state = await run(thread, store.repaired_state, out.stamp, out.leaves, out.rows, out.root)
-                held = self.member.copy
-                if state is not None and held is not None and state_stamp(held) == out.stamp:
+                copy = self.replica.copy
+                if state is not None and copy is not None and state_stamp(copy) == out.stamp:
                     self.feed(control.CopyRepaired(state))
                     facts = {"stamp": out.stamp, "leaves": len(out.leaves), "rows": len(out.rows)}
-                    self.carry(LogEvent(Event.COPY_MENDED, facts))
+                    self.perform(LogEvent(Event.COPY_REPAIRED, facts))
 
     def close(self) -> None:
         if self.task is not None:
--- a/vetchusher/routing/choice.py
+++ b/vetchusher/routing/choice.py
@@ -371,7 +371,7 @@
         standing.rest_until = now + standing.rest_us
         standing.failures = FAILURES_IN_ROW - 1  # the next failure rests it again
         return LogEvent(
-            Event.SERVER_RESTED, {"instance": standing.server.instance, "for_ms": standing.rest_us // 1000}
+            Event.SERVER_EJECTED, {"instance": standing.server.instance, "for_ms": standing.rest_us // 1000}
         )
 
     def _most(self, server: Server) -> float:
--- a/vetchusher/routing/claims.py
+++ b/vetchusher/routing/claims.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from vetchusher.kinds import Kind
+from vetchusher.errors import ErrorCode
 
 
 class Seen(StrEnum):
@@ -55,10 +55,10 @@
     """
 
     again: bool
-    otherwise: Kind | None
+    otherwise: ErrorCode | None
 
 
-_REFUSE, _FAIL, _ANSWER = Kind.NEVER_RAN, Kind.MAY_HAVE_RUN, None
+_REFUSE, _FAIL, _ANSWER = ErrorCode.NOT_EXECUTED, ErrorCode.MAYBE_EXECUTED, None
 # by claim, whether the answer is a failure, and whether the request is repeatable
 NEXT: dict[tuple[Claim, bool, bool], Next] = {
     (Claim.NEVER_RAN, True, True): Next(True, _REFUSE),
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -14,8 +14,8 @@
 from returns.result import Failure, Result, Success
 
 from vetchusher.discovery.server import Server
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import LogEvent
-from vetchusher.kinds import Fault, Kind
 from vetchusher.settings.configuration import Configuration, Route, Tenant
 
 from .choice import Choice
@@ -113,7 +113,7 @@
 class Refuse:
     """Answer by this ingress itself."""
 
-    fault: Fault
+    fault: Error
 
 
 @dataclass(slots=True, frozen=True)
@@ -153,10 +153,10 @@
         before = self.times.get(route.name)
         self.times[route.name] = took_us if before is None else before + SMOOTH * (took_us - before)
 
-    def refusal(self, now: int, kind: Kind, text: str) -> Fault:
+    def refusal(self, now: int, kind: ErrorCode, text: str) -> Error:
         """What the table does not allow: refused for good only if it is the one in force."""
         fresh = now <= self.fresh_until
-        return Fault(kind, text) if fresh else Fault(Kind.NOT_FRESH, text, STALE_AGAIN_US)
+        return Error(kind, text) if fresh else Error(ErrorCode.STALE_CONFIGURATION, text, STALE_AGAIN_US)
 
 
 class Request:
@@ -198,7 +198,7 @@
                 self.service = service
                 break
         if now >= self.deadline or server is None:
-            return self._refuse(Kind.NO_SERVER, "no server has room")
+            return self._refuse(ErrorCode.NO_SERVER_AVAILABLE, "no server has room")
         tenant = self.tenant
         # Danger: counted before it is known that it can be sent, what is refused here would eat the quota.
         if tenant is not None and tenant.rate_per_s > 0 and not self.ground.tally.admit(now, tenant.name):
@@ -206,7 +206,7 @@
             # Jitter: clients refused together must not return together.
             wait = self.ground.tally.room_at(now, tenant.name) * (1.0 + 0.5 * self.ground.rng.random())
             retry_after = int(min(MOST_QUOTA_WAIT_US, max(LEAST_QUOTA_WAIT_US, wait)))
-            return [Refuse(Fault(Kind.OVER_QUOTA, "over the quota", retry_after))]
+            return [Refuse(Error(ErrorCode.QUOTA_EXCEEDED, "over the quota", retry_after))]
         self.ground.budget.first(now, self.service)
         acts: list[Act] = [self._send(now, server)]
         if self.repeatable and self.route.max_attempts > 1:
@@ -319,59 +319,59 @@
         if self.fallback is not None:
             return self._answer(now, self.fallback)
         if not self.unsure:
-            return self._refuse(Kind.NEVER_RAN, "no server took it")
+            return self._refuse(ErrorCode.NOT_EXECUTED, "no server took it")
         self.done = True
         late = now >= self.deadline
-        kind = Kind.OUT_OF_TIME if late else Kind.MAY_HAVE_RUN
-        return [Refuse(Fault(kind, "no answer in time" if late else "a server took it and gave no answer"))]
+        kind = ErrorCode.DEADLINE_EXCEEDED if late else ErrorCode.MAYBE_EXECUTED
+        return [Refuse(Error(kind, "no answer in time" if late else "a server took it and gave no answer"))]
 
-    def _refuse(self, kind: Kind, text: str) -> list[Act]:
+    def _refuse(self, kind: ErrorCode, text: str) -> list[Act]:
         """Nothing has run, and nothing will: come again soon, not all at once."""
         self.done = True
         wait = int(self.route.target_ms * 100 * (0.5 + self.ground.rng.random()))
-        return [Refuse(Fault(kind, text, max(10_000, wait)))]
+        return [Refuse(Error(kind, text, max(10_000, wait)))]
 
     def _note(self, note: LogEvent | None) -> None:
         if note is not None:
             self.notes.append(note)
 
 
-def judge(ground: Ground, head: Head) -> Result[Request, Fault]:
+def judge(ground: Ground, head: Head) -> Result[Request, Error]:
     """Read a head by the configuration that is in force here now."""
     table = ground.table
     if table is None:
-        return Failure(Fault(Kind.NOT_FRESH, "no configuration yet", STALE_AGAIN_US))
+        return Failure(Error(ErrorCode.STALE_CONFIGURATION, "no configuration yet", STALE_AGAIN_US))
     if (fault := unreadable(head)) is not None:
         return Failure(fault)
     found = {name.lower(): value for name, value in head.headers}
     route = table.find(found["host"], head.target)
     if route is None:
-        return Failure(ground.refusal(head.arrived_at, Kind.NO_ROUTE, "no such route"))
+        return Failure(ground.refusal(head.arrived_at, ErrorCode.ROUTE_NOT_FOUND, "no such route"))
     tenant: Tenant | None = None
     if table.configuration.keyed:
         scheme, _, key = found.get("authorization", "").partition(" ")
         tenant = table.tenant(key.strip()) if scheme.lower() == "bearer" else None
         if tenant is None and not route.public:
-            return Failure(ground.refusal(head.arrived_at, Kind.NO_KEY, "no such key"))
+            return Failure(ground.refusal(head.arrived_at, ErrorCode.UNAUTHENTICATED, "no such key"))
     return Success(Request(ground, table, head, route, tenant))
 
 
-def unreadable(head: Head) -> Fault | None:
+def unreadable(head: Head) -> Error | None:
     """Why a head cannot be passed on as it is, if so."""
     if not head.target.startswith("/") or not head.target.isascii():
-        return Fault(Kind.UNREADABLE, "the target is no path")
+        return Error(ErrorCode.MALFORMED_REQUEST, "the target is no path")
     repeated = _repeated(name.lower() for name, _ in head.headers)
     if repeated:
-        return Fault(Kind.UNREADABLE, f"{repeated} is repeated")
+        return Error(ErrorCode.MALFORMED_REQUEST, f"{repeated} is repeated")
     found = {name.lower(): value for name, value in head.headers}
     if not _ID.fullmatch(found.get(ATTEMPT_ID.lower(), "")):
-        return Fault(Kind.UNREADABLE, f"{ATTEMPT_ID} is missing or malformed")
+        return Error(ErrorCode.MALFORMED_REQUEST, f"{ATTEMPT_ID} is missing or malformed")
     if not found.get("host"):
-        return Fault(Kind.UNREADABLE, "Host is missing")
+        return Error(ErrorCode.MALFORMED_REQUEST, "Host is missing")
     try:
         "".join(found.values()).encode()
     except UnicodeEncodeError:
-        return Fault(Kind.UNREADABLE, "a header is no text")
+        return Error(ErrorCode.MALFORMED_REQUEST, "a header is no text")
     return None
 
 
--- a/vetchusher/settings/configuration.py
+++ b/vetchusher/settings/configuration.py
@@ -16,8 +16,8 @@
 
 from returns.result import Failure, Result, Success
 
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.fields import FieldError, shown
-from vetchusher.kinds import Fault, Kind
 
 from .compiled import form
 
@@ -99,7 +99,7 @@
     keyed: bool
 
 
-def read_configuration(raw: bytes) -> Result[Configuration, Fault]:
+def read_configuration(raw: bytes) -> Result[Configuration, Error]:
     """The configuration in a body of JSON, checked whole, or `INVALID` with one line that names the place.
 
     What is not known is ignored; what is missing or null has its default, where the program can do without.
@@ -110,7 +110,7 @@
         form("configuration").check(tree, "configuration")
         return Success(configuration_in(tree))
     except (ValueError, RecursionError) as err:
-        return Failure(Fault(Kind.INVALID, " ".join(str(err).split())[:MOST_TEXT]))
+        return Failure(Error(ErrorCode.INVALID_ORDER, " ".join(str(err).split())[:MOST_TEXT]))
 
 
 def tree_of(raw: bytes) -> Any:
--- a/vetchusher/settings/node.py
+++ b/vetchusher/settings/node.py
@@ -15,8 +15,8 @@
 
 from returns.result import Failure, Result, Success
 
+from vetchusher.errors import Error, ErrorCode
 from vetchusher.fields import FieldError, shown
-from vetchusher.kinds import Fault, Kind
 
 from .compiled import form
 
@@ -148,12 +148,12 @@
         return self.limits.file_descriptors
 
 
-def read_node(path: str) -> Result[NodeSettings, Fault]:
+def read_node(path: str) -> Result[NodeSettings, Error]:
     """The settings in the file, or `BAD_SETTINGS` with one line that names the file and the place."""
     return read_tree(path).bind(lambda tree: node_of(tree, path))
 
 
-def read_tree(path: str) -> Result[dict[str, Any], Fault]:
+def read_tree(path: str) -> Result[dict[str, Any], Error]:
     """The file's TOML, unchecked."""
     try:
         with pathlib.Path(path).open("rb") as file:
@@ -174,7 +174,7 @@
     return text.encode() if math.isnan(value) else value
 
 
-def node_of(tree: dict[str, Any], path: str = "settings") -> Result[NodeSettings, Fault]:
+def node_of(tree: dict[str, Any], path: str = "settings") -> Result[NodeSettings, Error]:
     """:param path: named in a failure's text"""
     try:
         form("node").check(tree, "settings")
@@ -183,8 +183,8 @@
         return bad(path, str(err))
 
 
-def bad(path: str, text: str) -> Failure[Fault]:
-    return Failure(Fault(Kind.BAD_SETTINGS, f"{path}: {' '.join(text.split())[:MOST_TEXT]}"))
+def bad(path: str, text: str) -> Failure[Error]:
+    return Failure(Error(ErrorCode.INVALID_SETTINGS, f"{path}: {' '.join(text.split())[:MOST_TEXT]}"))
 
 
 def node(tree: dict[str, Any]) -> NodeSettings:
