--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -33,7 +33,8 @@
 from vetchusher.events import LogEvent
 from vetchusher.limits.totals import QuotaCoordinator
 from vetchusher.limits.windows import Bounds as QuotaBounds
-from vetchusher.node import operator_api
+from vetchusher.node import api_calls
+from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import PeerNetwork
@@ -257,9 +258,8 @@
         shelf = SnapshotStore.open(folder).unwrap()
         paths = PeerNetwork(loop, "10.0.0.1", ZONE, 0, lambda frame, way: None, silent)
         node_settings = settings("c0", "10.0.0.1", True)
-        node = ControlNode(
-            loop, node_settings, paths, store, None, shelf, random.Random(1), steady_us, silent
-        )
+        context = NodeContext(loop, node_settings, paths, random.Random(1), steady_us, silent)
+        node = ControlNode(context, store, None, shelf)
         gc.freeze()
         gc.enable()
         watch, found = Watch(), dict[str, Any]()
@@ -285,8 +285,12 @@
 
 async def order(node: ControlNode, body: bytes, version: int) -> None:
     """Until it is acknowledged, told to readers, and put away."""
-    acknowledged(await node.execute(operator_api.ReplaceConfiguration(body))).unwrap()
-    while node.commit_publisher.is_behind or node.control.stamp > node.shelved.get("control", (0, 0)):
+    writer = node.snapshot_writer
+    assert writer is not None
+    acknowledged(await node.execute(api_calls.ReplaceConfiguration(body))).unwrap()
+    while node.commit_publisher.is_behind or node.control.stamp > writer.persisted_stamps.get(
+        "control", (0, 0)
+    ):
         await asyncio.sleep(0.005)
 
 
@@ -298,7 +302,7 @@
     found = {}
     for name, vector in (("whole", none), ("delta", last)):
         used = time.process_time()
-        found[f"{name}_bytes"] = float(len(node.update_cache.updates_for(vector)))
+        found[f"{name}_bytes"] = float(len(node.publisher.updates_for(vector)))
         found[f"{name}_ms"] = (time.process_time() - used) * 1e3
     used = time.process_time()
     snapshot_of(node.control)
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -28,14 +28,15 @@
 from vetchusher.emulator.system.process_loops import Clockwork, Net, ProcessLoop, Wire
 from vetchusher.errors import Error
 from vetchusher.events import Event, LogEvent
-from vetchusher.node import operator_api
+from vetchusher.node import api_calls
+from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import PeerNetwork
 from vetchusher.node.platform import ServerListClient
 from vetchusher.settings.node import Bounds, CloudApi, Listen, NodeSettings
 
-Settled: TypeAlias = Result[operator_api.Answer, Error] | operator_api.GuardedOutcome
+Settled: TypeAlias = Result[api_calls.ApiResult, Error] | api_calls.GuardedOutcome
 
 PORT = 7000
 IN_ZONE, BETWEEN_ZONES, BETWEEN_REGIONS = "in zone", "between zones", "between regions"
@@ -53,9 +54,9 @@
 HEADER = 66  # bytes of Ethernet, IP and TCP around each message, for what is reckoned of them
 
 
-def acknowledged(outcome: Settled) -> Result[operator_api.Answer, Error]:
+def acknowledged(outcome: Settled) -> Result[api_calls.ApiResult, Error]:
     """What an operator would be told."""
-    return outcome.checked_at_send() if isinstance(outcome, operator_api.GuardedOutcome) else outcome
+    return outcome.checked_at_send() if isinstance(outcome, api_calls.GuardedOutcome) else outcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -272,7 +273,7 @@
             self.note(process, event)
 
         paths = PeerNetwork(
-            loop, process.ip, process.zone, PORT, lambda frame, way: part.serve(frame, way), note
+            loop, process.ip, process.zone, PORT, lambda frame, way: part.on_frame(frame, way), note
         )
 
         def now() -> int:
@@ -283,8 +284,9 @@
             place = str(self.folder / process.name)
             store = Store.open(place).unwrap()
             shelf = SnapshotStore.open(place).unwrap()
-            part = ControlNode(loop, node, paths, store, store.load().unwrap(), shelf, rng, now, note)
-            part.server_list_client = HollowPlatform(loop, self.pages)
+            context = NodeContext(loop, node, paths, rng, now, note)
+            part = ControlNode(context, store, store.load().unwrap(), shelf)
+            part.leader_roles.server_list_poller.client = HollowPlatform(loop, self.pages)
         else:
             part = EdgeNode(loop, node, paths, rng, now, note)
         process.part = part
@@ -345,7 +347,7 @@
         part = cast(ControlNode, process.part)
 
         async def settle() -> None:
-            outcome = await part.execute(operator_api.ReplaceConfiguration(body))
+            outcome = await part.execute(api_calls.ReplaceConfiguration(body))
             if isinstance(acknowledged(outcome), Success):
                 done.append(self.clock.at)
 
@@ -398,8 +400,8 @@
             if isinstance(process.part, ControlNode):
                 if (link := process.part.persister.store.connection) is not None:
                     link.close()
-                if process.part.snapshots is not None:
-                    process.part.snapshots.close()
+                if process.part.snapshot_writer is not None:
+                    process.part.snapshot_writer.store.close()
             elif process.part is not None:
                 process.part.front.tries.session.detach()
         gc.unfreeze()
--- a/benchmarks/capacity/loopback.py
+++ b/benchmarks/capacity/loopback.py
@@ -24,7 +24,8 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.events import LogEvent
-from vetchusher.node import operator_api
+from vetchusher.node import api_calls
+from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import Channel, PeerNetwork
@@ -81,7 +82,7 @@
             bounds=BOUNDS,
             listen=Listen() if core else Listen(front=(ip, 80)),
         )
-        paths = PeerNetwork(self.loop, ip, zone, PORT, lambda frame, way: part.serve(frame, way), silent)
+        paths = PeerNetwork(self.loop, ip, zone, PORT, lambda frame, way: part.on_frame(frame, way), silent)
         rng = random.Random(number)
         part: ControlNode | EdgeNode
         if core:
@@ -95,9 +96,10 @@
     def control(self, node: NodeSettings, paths: PeerNetwork, rng: random.Random) -> ControlNode:
         place = str(self.folder / node.node_name)
         store, shelf = Store.open(place).unwrap(), SnapshotStore.open(place).unwrap()
-        part = ControlNode(self.loop, node, paths, store, None, shelf, rng, steady_us, silent)
+        context = NodeContext(self.loop, node, paths, rng, steady_us, silent)
+        part = ControlNode(context, store, None, shelf)
         pages = made.pages(self.size.servers, self.size.services, self.names)
-        part.server_list_client = HollowPlatform(self.loop, pages)
+        part.leader_roles.server_list_poller.client = HollowPlatform(self.loop, pages)
         return part
 
     async def run(self, counted: Counted) -> Figures:
@@ -125,7 +127,7 @@
         for ip in self.cores:
             part = self.parts[ip]
             if isinstance(part, ControlNode) and part.replica.is_leader(steady_us()):
-                acknowledged(await part.execute(operator_api.ReplaceConfiguration(body))).unwrap()
+                acknowledged(await part.execute(api_calls.ReplaceConfiguration(body))).unwrap()
 
     async def close(self) -> None:
         for task in self.tasks:
@@ -134,7 +136,7 @@
             if isinstance(part, EdgeNode):
                 await part.front.tries.session.close()
             await part.subscriber_driver.close()
-            await part.paths.close()
+            await (part.paths if isinstance(part, EdgeNode) else part.context.network).close()
 
 
 def silent(_: LogEvent) -> None:
--- a/tests/test_operator_api.py
+++ b/tests/test_api_listener.py
@@ -11,7 +11,7 @@
 from vetchusher import control
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.errors import HTTP_STATUS, Error, ErrorCode
-from vetchusher.node import control_node, operator_api
+from vetchusher.node import api_calls, api_endpoints, api_listener, order_service
 
 
 class Settler:
@@ -29,13 +29,13 @@
             return self.outcome
         return Success(
             {
-                operator_api.ReplaceConfiguration: lambda: operator_api.ConfigurationReplaced(),
-                operator_api.RetrieveConfiguration: lambda: operator_api.ConfigurationRetrieved(
+                api_calls.ReplaceConfiguration: lambda: api_calls.ConfigurationReplaced(),
+                api_calls.RetrieveConfiguration: lambda: api_calls.ConfigurationRetrieved(
                     b'{"version": "r1"}'
                 ),
-                operator_api.InitiateEvacuation: lambda: operator_api.EvacuationSet(call.zone, True),
-                operator_api.TerminateEvacuation: lambda: operator_api.EvacuationSet(call.zone, False),
-                operator_api.ResolveAddresses: lambda: operator_api.AddressesResolved(("10.0.0.1:80",), 2.0),
+                api_calls.InitiateEvacuation: lambda: api_calls.EvacuationSet(call.zone, True),
+                api_calls.TerminateEvacuation: lambda: api_calls.EvacuationSet(call.zone, False),
+                api_calls.ResolveAddresses: lambda: api_calls.AddressesResolved(("10.0.0.1:80",), 2.0),
             }[type(call)]()
         )
 
@@ -55,7 +55,7 @@
 
 
 class DoorsTest(testtools.TestCase):
-    def talk(self, settler, script, kind=operator_api.ControlApi, **bounds):
+    def talk(self, settler, script, kind=api_listener.ControlApi, **bounds):
         """Run the script with a door open: it gets a way to connect, and the door."""
 
         async def run():
@@ -105,10 +105,10 @@
         self.assertThat(answers[1][2], Equals(b'{"version": "r1"}'))
         self.assertThat(json.loads(answers[3][2]), Equals({"zone": "nörd", "on": False}))
         said = [
-            operator_api.ReplaceConfiguration(b'{"version"'),
-            operator_api.RetrieveConfiguration(),
-            operator_api.InitiateEvacuation("north-1"),
-            operator_api.TerminateEvacuation("nörd"),
+            api_calls.ReplaceConfiguration(b'{"version"'),
+            api_calls.RetrieveConfiguration(),
+            api_calls.InitiateEvacuation("north-1"),
+            api_calls.TerminateEvacuation("nörd"),
         ]
         self.assertThat(settler.calls, Equals(said))
 
@@ -118,10 +118,10 @@
             message("GET /resolution?name=a.example&region=n&zone=n-1"),
             message("GET /resolution?zone=%zz"),
         )
-        (_, _, body), (status, _, _) = self.ask(settler, *raws, kind=operator_api.DirectoryApi)
+        (_, _, body), (status, _, _) = self.ask(settler, *raws, kind=api_listener.DirectoryApi)
         self.assertThat(json.loads(body), Equals({"addresses": ["10.0.0.1:80"], "ttl_s": 2.0}))
         self.assertThat(
-            (status, settler.calls[0]), Equals((200, operator_api.ResolveAddresses("a.example", "n", "n-1")))
+            (status, settler.calls[0]), Equals((200, api_calls.ResolveAddresses("a.example", "n", "n-1")))
         )
 
     def test_faults_are_answered_by_their_kind(self):
@@ -137,31 +137,31 @@
             )
             self.assertThat(status, Equals(HTTP_STATUS[fault.code]))
             self.assertThat(json.loads(body), Equals({"error": fault.code, "text": fault.text}))
-            retry_after_us = fault.retry_after_us or operator_api.DEFAULT_RETRY_AFTER_US
+            retry_after_us = fault.retry_after_us or api_endpoints.DEFAULT_RETRY_AFTER_US
             back = f"{retry_after_us / 1e6:.3f}" if fault.code is ErrorCode.UNAVAILABLE else None
             self.assertThat(headers.get("retry-after"), Equals(back))
 
     def test_what_may_be_overtaken_leaves_only_while_its_backing_lasts(self):
         """Asked as the bytes leave: a reading, a refusal for good; of what is unsettled there is nothing to
         ask."""
-        reading = Success(operator_api.ConfigurationRetrieved(b"{}"))
+        reading = Success(api_calls.ConfigurationRetrieved(b"{}"))
         unknown = Failure(Error(ErrorCode.NOT_FOUND, "no zone"))
         unsettled = Failure(Error(ErrorCode.UNAVAILABLE, "no primary", 250_000))
         for outcome, lasts, status, text in (
             (reading, True, 200, None),
-            (reading, False, 503, operator_api.STALE_OUTCOME.text),
+            (reading, False, 503, api_calls.STALE_OUTCOME.text),
             (unknown, True, 404, "no zone"),
-            (unknown, False, 503, operator_api.STALE_OUTCOME.text),
+            (unknown, False, 503, api_calls.STALE_OUTCOME.text),
             (unsettled, False, 503, "no primary"),
         ):
-            settler = Settler(operator_api.GuardedOutcome(outcome, lambda lasts=lasts: lasts))
+            settler = Settler(api_calls.GuardedOutcome(outcome, lambda lasts=lasts: lasts))
             ((got, headers, body),) = self.ask(settler, message("GET /configuration/retrieve"))
             self.assertThat((got, json.loads(body).get("text")), Equals((status, text)))
             self.assertThat("retry-after" in headers, Equals(status == 503))
 
     def test_a_long_reading_breaks_off_where_its_backing_ends(self):
-        body, looks = b"x" * (operator_api.WRITE_CHUNK_BYTES * 4), iter([True, True, False])
-        whole = operator_api.GuardedOutcome(Success(operator_api.ConfigurationRetrieved(body)), lambda: True)
+        body, looks = b"x" * (api_listener.WRITE_CHUNK_BYTES * 4), iter([True, True, False])
+        whole = api_calls.GuardedOutcome(Success(api_calls.ConfigurationRetrieved(body)), lambda: True)
         ((status, _, got),) = self.ask(Settler(whole), message("GET /configuration/retrieve"))
         self.assertThat((status, got), Equals((200, body)))
 
@@ -170,9 +170,7 @@
             writer.write(message("GET /configuration/retrieve"))
             return await reader.read(-1)
 
-        ends = operator_api.GuardedOutcome(
-            Success(operator_api.ConfigurationRetrieved(body)), lambda: next(looks)
-        )
+        ends = api_calls.GuardedOutcome(Success(api_calls.ConfigurationRetrieved(body)), lambda: next(looks))
         with testtools.ExpectedException(ConnectionError):
             got = self.talk(Settler(ends), script)
             raise ConnectionError(f"{len(got)} of {len(body)}") if len(got) < len(body) else AssertionError
@@ -180,22 +178,25 @@
     def test_what_the_primary_said_comes_through(self):
         """Kinds of errors survive the way between two core machines; an unknown one is no refusal."""
         for kind in (ErrorCode.VERSION_CONFLICT, ErrorCode.INVALID_ORDER, ErrorCode.NOT_FOUND):
-            said = control_node.passed_on(wire.OrderDone(kind=kind.value, text="why"))
+            said = order_service.forwarded_error(wire.OrderDone(kind=kind.value, text="why"))
             self.assertThat(said, Equals(Error(kind, "why")))
         for name in (ErrorCode.UNAVAILABLE.value, "of a later release"):
-            said = control_node.passed_on(wire.OrderDone(kind=name, text="why"))
+            said = order_service.forwarded_error(wire.OrderDone(kind=name, text="why"))
             self.assertThat((said.status, said.retry_after_us > 0), Equals((503, True)))
 
     def test_an_evacuation_that_may_have_waited_is_not_taken(self):
-        async def decide_here(order):
-            return operator_api.GuardedOutcome(Success(order), lambda: True)
+        async def commit_here(order):
+            return api_calls.GuardedOutcome(Success(order), lambda: True)
 
         orders = (control.EvacuationOrder("a", True), control.ReplaceOrder(1, b""), control.RetrieveOrder())
         for stood_still in (False, True):
-            node = mock.Mock(decide_here=decide_here)
-            node.replica.was_paused.return_value = stood_still
+            service = mock.Mock(commit_here=commit_here)
+            service.replica.was_paused.return_value = stood_still
             taken = [
-                isinstance(asyncio.run(control_node.ControlNode.decide(node, order, None)).outcome, Success)
+                isinstance(
+                    asyncio.run(order_service.OrderService.commit_or_forward(service, order, None)).outcome,
+                    Success,
+                )
                 for order in orders
             ]
             self.assertThat(taken, Equals([not stood_still, True, True]))
@@ -237,7 +238,7 @@
             writer.write(message("POST /configuration/replace", b"x" * 30))
             refused = await read_answer(second)
             held = door.buffered_bytes
-            settler.outcome.set_result(Success(operator_api.ConfigurationReplaced()))
+            settler.outcome.set_result(Success(api_calls.ConfigurationReplaced()))
             return refused[0], held, (await read_answer(first))[0], door.buffered_bytes
 
         self.assertThat(self.talk(Settler(), script, max_body_bytes=100), Equals((503, 80, 200, 0)))
@@ -253,16 +254,16 @@
             return status, (await read_answer(unsettled))[0], door.buffered_bytes
 
         told = []
-        self.assertLess(operator_api.CALLER_TIMEOUT_S, 1.0)  # then callers hear of it before they go
+        self.assertLess(api_listener.CALLER_TIMEOUT_S, 1.0)  # then callers hear of it before they go
         with (
-            mock.patch.object(operator_api, "READ_TIMEOUT_S", 0.05),
-            mock.patch.object(operator_api, "CALLER_TIMEOUT_S", 0.05),
+            mock.patch.object(api_listener, "READ_TIMEOUT_S", 0.05),
+            mock.patch.object(api_listener, "CALLER_TIMEOUT_S", 0.05),
         ):
             answers = self.talk(Settler(), script, on_rejected=lambda *rejected: told.append(rejected))
         self.assertThat(answers, Equals((408, 503, 0)))
         ((call, fault),) = told
         self.assertThat(
-            (call, fault.code), Equals((operator_api.RetrieveConfiguration(), ErrorCode.UNAVAILABLE))
+            (call, fault.code), Equals((api_calls.RetrieveConfiguration(), ErrorCode.UNAVAILABLE))
         )
 
     def test_a_chunk_that_cannot_be_read_is_answered_at_once(self):
@@ -285,8 +286,8 @@
                 await asyncio.sleep(0.005)
             return True
 
-        long = Success(operator_api.ConfigurationRetrieved(b"x" * (32 << 20)))
-        with mock.patch.object(operator_api, "READ_TIMEOUT_S", 0.05):
+        long = Success(api_calls.ConfigurationRetrieved(b"x" * (32 << 20)))
+        with mock.patch.object(api_listener, "READ_TIMEOUT_S", 0.05):
             self.assertTrue(self.talk(Settler(long), script))
 
     def test_a_call_under_way_is_answered_while_the_door_closes(self):
@@ -298,7 +299,7 @@
                 await asyncio.sleep(0.001)
             closing = asyncio.ensure_future(door.close())
             await asyncio.sleep(0)
-            door.execute.outcome.set_result(Success(operator_api.EvacuationSet("a", True)))
+            door.execute.outcome.set_result(Success(api_calls.EvacuationSet("a", True)))
             status, headers, _ = await read_answer(reader)
             await closing
             return status, headers["connection"]
@@ -315,13 +316,13 @@
                 (link,) = door.listener.links
                 link.wire.abort()
                 left.append(call)
-                return Success(operator_api.EvacuationSet("a", True))
+                return Success(api_calls.EvacuationSet("a", True))
 
             door.execute = settle
             reader, writer = await connect()
             writer.write(message("POST /evacuation/a/initiate"))
             return await reader.read()
 
-        with mock.patch.object(operator_api.log, "error") as said:
+        with mock.patch.object(api_listener.log, "error") as said:
             self.assertThat(self.talk(Settler(), script), Equals(b""))
         self.assertThat((len(left), said.mock_calls), Equals((1, [])))
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -221,7 +221,8 @@
 
     def test_what_the_architecture_names_in_a_class_is_there(self):
         known = members()
-        named = MEMBER.findall((ROOT / "docs" / "architecture.md").read_text())
+        pages = [ROOT / "docs" / name for name in ("architecture.md", "daemon.md")]
+        named = [found for page in pages for found in MEMBER.findall(page.read_text())]
         self.assertEqual([], [f"{owner}.{name}" for owner, name in named if name not in known.get(owner, ())])
 
     def test_the_glossary_names_what_is_defined(self):
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from returns.result import Success
-from test_operator_api import Settler, message, read_answer
+from test_api_listener import Settler, message, read_answer
 from test_proxy import HOST, Client, ingress, scene, unhurried
 from testtools import TestCase
 
@@ -23,7 +23,7 @@
 from vetchusher.emulator.system.local import claim_net
 from vetchusher.emulator.system.mutations import planted
 from vetchusher.emulator.system.world import Scene, World
-from vetchusher.node import operator_api, paths, proxy
+from vetchusher.node import api_calls, api_listener, paths, proxy
 from vetchusher.node.callers import has_hung_up, unread_for_s
 from vetchusher.node.lives import IncarnationTracker
 from vetchusher.node.platform import ServerListClient
@@ -394,7 +394,7 @@
 
         async def run():
             settler = Settler()
-            door = operator_api.ControlApi(settler, ("127.0.0.1", 0))
+            door = api_listener.ControlApi(settler, ("127.0.0.1", 0))
             door.open()
             caller = socket.create_connection(door.address)
             caller.sendall(raw)
@@ -414,7 +414,7 @@
                 caller.close()
                 await door.close()
 
-        with mock.patch.object(operator_api, "unread_for_s", lambda wire: waited or unread_for_s(wire)):
+        with mock.patch.object(api_listener, "unread_for_s", lambda wire: waited or unread_for_s(wire)):
             return asyncio.run(asyncio.wait_for(run(), 30))
 
     def test_a_call_whose_caller_has_left_is_not_carried_out(self):
@@ -428,8 +428,8 @@
     def test_a_call_that_lay_unread_too_long_is_not_carried_out(self):
         """The operator may have left behind a cut, which tells nobody of it."""
         raw = message("POST /evacuation/a/initiate")
-        self.assertEqual((503, []), self.settled(raw, "keep", operator_api.CALLER_TIMEOUT_S))
-        self.assertEqual((200, [operator_api.InitiateEvacuation("a")]), self.settled(raw, "keep", 0.1))
+        self.assertEqual((503, []), self.settled(raw, "keep", api_listener.CALLER_TIMEOUT_S))
+        self.assertEqual((200, [api_calls.InitiateEvacuation("a")]), self.settled(raw, "keep", 0.1))
 
     def test_how_long_bytes_lie_there_is_known_without_reading_them(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -541,7 +541,7 @@
             (2, 92, wire.LEAVING),
         ):
             beat = wire.Heartbeat(node="e9", ip="10.0.1.9", front="10.0.1.9:80", life=life, standing=standing)
-            part.serve(wire.Frame(sender="10.0.1.9", heartbeat=beat), mock.Mock(number=connection))
+            part.on_frame(wire.Frame(sender="10.0.1.9", heartbeat=beat), mock.Mock(number=connection))
             self.assertNotEqual(wire.READY, part.presence.ingresses["e9"].state)
 
     def test_a_core_machine_hears_nothing_of_an_earlier_life_of_another(self):
@@ -550,8 +550,8 @@
         part = world.machines["1"].part
         for life, connection, heard in ((8, 91, 1), (9, 92, 1), (8, 91, 0), (9, 92, 1)):
             message = wire.ControlMessage(life=life)
-            with mock.patch.object(part, "feed") as feed:
-                part.serve(wire.Frame(sender="10.0.0.9", control=message), mock.Mock(number=connection))
+            with mock.patch.object(part.peer_messages, "feed") as feed:
+                part.on_frame(wire.Frame(sender="10.0.0.9", control=message), mock.Mock(number=connection))
             self.assertEqual(heard, feed.call_count)
 
 
@@ -569,7 +569,7 @@
         for ip in gone:
             world.servers.remove(ip)
             world.run(world.clock.at + SECOND)
-        world.machines[world.primary()].part.end_duties()
+        world.machines[world.primary()].part.leader_roles.stop()
         world.run(world.clock.at + SECOND)
         world.servers.remove("10.9.0.5")
         world.run(world.clock.at + 2 * SECOND)
@@ -584,7 +584,7 @@
         world = World(Scene(seed=1, hot=0.9, rate=200.0))
         world.warm_up()
         world.run(world.clock.at + SECOND)
-        world.machines[world.primary()].part.end_duties()
+        world.machines[world.primary()].part.leader_roles.stop()
         world.run(world.clock.at + 11 * SECOND)
         return world.wrong()
 
@@ -610,7 +610,7 @@
     def order(self, name, on):
         """Begin an order at that machine; its outcome is appended to what is returned."""
         machine, outcomes = self.world.machines[name], []
-        call = operator_api.InitiateEvacuation("gulf-b") if on else operator_api.TerminateEvacuation("gulf-b")
+        call = api_calls.InitiateEvacuation("gulf-b") if on else api_calls.TerminateEvacuation("gulf-b")
 
         async def settle():
             outcomes.append((await machine.part.execute(call)).checked_at_send())
@@ -624,7 +624,7 @@
     def acknowledged(self, on):
         outcomes = self.order(self.other, on)
         self.run_for(300 * MS)
-        self.assertEqual([Success(operator_api.EvacuationSet("gulf-b", on))], outcomes)
+        self.assertEqual([Success(api_calls.EvacuationSet("gulf-b", on))], outcomes)
 
     def in_force(self):
         state = self.world.machines[self.primary].part.replica.durable.state
@@ -633,14 +633,14 @@
     def cut_before(self, question):
         """Cut the two machines as the one that passes on is about to write that question."""
         part = self.world.machines[self.passing].part
-        real = part.paths.request
+        real = part.context.network.request
 
         def ask(ip, frame, patience_s):
             if frame.order.WhichOneof("order") == question:
                 self.world.cut(self.passing, [self.primary])
             return real(ip, frame, patience_s)
 
-        part.paths.request = ask
+        part.context.network.request = ask
 
     def held_up(self, question):
         """
@@ -674,7 +674,7 @@
             way = mock.Mock(number=1)
             replace = wire.Frame(order=wire.OrderAsked(replace=configuration))
             for one in (frame, frame, replace):
-                part.loop.call_soon(part.serve, one, way)
+                part.context.loop.call_soon(part.on_frame, one, way)
             self.run_for(300 * MS)
             told.append([call.args[1].done.kind for call in way.reply.call_args_list])
             if reverse:
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -230,10 +230,10 @@
     def test_the_list_is_told_on_by_a_primary_that_held_its_epoch_before(self) -> None:
         world = World(Scene(seed=3))
         leader = leader_of(world)
-        assert leader.server_list_task is not None
+        assert leader.leader_roles.server_list_task is not None
         epoch, seq = leader.discovery.stamp
         self.assertGreater(seq, 1)
-        leader.server_list_task.cancel()
+        leader.leader_roles.server_list_task.cancel()
         world.run(world.clock.at + SECOND)
         ip = min(world.servers.at_address)
         world.servers.drain(ip)
@@ -247,13 +247,13 @@
     def test_the_totals_are_held_on_by_it(self) -> None:
         world = World(Scene(seed=3))
         leader = leader_of(world)
-        holder = leader.quota_coordinator
+        holder = leader.leader_roles.quota_coordinator
         assert holder is not None
-        leader.end_duties()
+        leader.leader_roles.stop()
         world.run(world.clock.at + SECOND)
-        self.assertIs(holder, leader.quota_coordinator)
-        leader.end_duties()
-        self.assertIsNot(holder, leader.holder_of(holder.epoch + 1, leader.now()))
+        self.assertIs(holder, leader.leader_roles.quota_coordinator)
+        leader.leader_roles.stop()
+        self.assertIsNot(holder, leader.leader_roles.coordinator_for(holder.epoch + 1, leader.now()))
 
     def test_the_day_that_showed_it(self) -> None:
         self.assertEqual([], Search(drawn(590)).run())
@@ -271,7 +271,7 @@
         times = itertools.chain([decided_at], itertools.repeat(decided_at + stands_still))
         with (
             mock.patch.object(part, "now", lambda: next(times)),
-            mock.patch.object(part.paths, "send", lambda to, frame: told.append(to)),
+            mock.patch.object(part.context.network, "send", lambda to, frame: told.append(to)),
         ):
             part.feed(Tick())
         return bool(told)
@@ -290,9 +290,9 @@
             part.feed(ShutDown())
             return Success(b"r1")
 
-        with mock.patch.object(part, "submit", submit):
+        with mock.patch.object(part.orders, "submit", submit):
             try:
-                part.execute_forwarded(asked).send(None)
+                part.orders.execute_forwarded(asked).send(None)
             except StopIteration as done:
                 return cast(Result[bytes, Error], done.value)
         raise AssertionError("it waits")
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -27,7 +27,7 @@
 from vetchusher.distribution.source import Source
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event
-from vetchusher.node import operator_api
+from vetchusher.node import api_calls, api_endpoints
 
 RECORDED = Path(__file__).parent / "recorded"
 EXPORTED_AT_S = 1_790_000_000
@@ -163,19 +163,19 @@
     def answers(self) -> dict[str, web.Response]:
         answers = {}
         for kind in ErrorCode:
-            answers[f"failure.{kind.value}"] = operator_api.response_of(Failure(Error(kind, "a line")))
+            answers[f"failure.{kind.value}"] = api_endpoints.response_of(Failure(Error(kind, "a line")))
             late = Error(kind, "a line", 1_250_000)
-            answers[f"failure.{kind.value}.retry"] = operator_api.response_of(Failure(late))
+            answers[f"failure.{kind.value}.retry"] = api_endpoints.response_of(Failure(late))
         results = {
-            "replaced": operator_api.ConfigurationReplaced(),
-            "retrieved": operator_api.ConfigurationRetrieved(b'{"version": "r1"}'),
-            "evacuation_set": operator_api.EvacuationSet("gulf-a", True),
-            "resolved": operator_api.AddressesResolved(("127.0.0.1:80", "127.0.0.2:80"), 2.0),
+            "replaced": api_calls.ConfigurationReplaced(),
+            "retrieved": api_calls.ConfigurationRetrieved(b'{"version": "r1"}'),
+            "evacuation_set": api_calls.EvacuationSet("gulf-a", True),
+            "resolved": api_calls.AddressesResolved(("127.0.0.1:80", "127.0.0.2:80"), 2.0),
         }
-        answers |= {name: operator_api.response_of(Success(result)) for name, result in results.items()}
-        answers["refused.405"] = operator_api.rejection(405, "not by PUT", {"POST", "GET"})
-        answers["refused.404"] = operator_api.rejection(404, "nothing is called this")
-        return answers | {"busy": operator_api.busy_response(), "overtaken": operator_api.stale_response()}
+        answers |= {name: api_endpoints.response_of(Success(result)) for name, result in results.items()}
+        answers["refused.405"] = api_endpoints.rejection(405, "not by PUT", {"POST", "GET"})
+        answers["refused.404"] = api_endpoints.rejection(404, "nothing is called this")
+        return answers | {"busy": api_endpoints.busy_response(), "overtaken": api_endpoints.stale_response()}
 
     def test_answers_are_those_recorded(self) -> None:
         self.assertEqual(
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -19,13 +19,13 @@
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.limits.tally import LocalQuota
 from vetchusher.limits.tries import ExtraTries
-from vetchusher.node import control_node, edge_node, operator_api, proxy
+from vetchusher.node import api_calls, control_node, edge_node, leader_roles, order_service, proxy
 from vetchusher.routing import choice, claims, headers, request
 
 from . import world
 
 REAL_MERGE, REAL_PLACE = Source.apply, choice.Choice._place
-REAL_HOLDER_OF = control_node.ControlNode.holder_of
+REAL_COORDINATOR_FOR = leader_roles.LeaderRoles.coordinator_for
 REAL_OVER = proxy.Flow.over
 REAL_EVACUATED = control_state.apply_evacuation
 REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
@@ -69,9 +69,9 @@
     REAL_OVER(self, number, seen, prompt, got)
 
 
-def holds_totals_anew(self: control_node.ControlNode, epoch: int, now: int) -> Any:
+def holds_totals_anew(self: leader_roles.LeaderRoles, epoch: int, now: int) -> Any:
     self.paused_quota_coordinator = None
-    return REAL_HOLDER_OF(self, epoch, now)
+    return REAL_COORDINATOR_FOR(self, epoch, now)
 
 
 def keeps_the_drained(self: choice.Choice) -> None:
@@ -82,7 +82,7 @@
             regions.setdefault(standing.region, []).append(standing)
 
 
-def refused_for_good(self: control_node.ControlNode, zone: str) -> Result[Any, Error]:
+def refused_for_good(self: order_service.OrderService, zone: str) -> Result[Any, Error]:
     return Failure(Error(ErrorCode.NOT_FOUND, zone))
 
 
@@ -122,7 +122,9 @@
     "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Error(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
     "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
-    "totals begin anew with a regained lease": ((control_node.ControlNode, "holder_of", holds_totals_anew),),
+    "totals begin anew with a regained lease": (
+        (leader_roles.LeaderRoles, "coordinator_for", holds_totals_anew),
+    ),
     "quotas are not judged": ((LocalQuota, "admit", lambda self, now, tenant: True),),
     "answers are not told by their ids": ((proxy.Flow, "over", takes_the_answer_before),),
     "keys go along to servers": (
@@ -131,17 +133,17 @@
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
     "a reading leaves whatever came meanwhile": (
-        (operator_api.GuardedOutcome, "checked_at_send", lambda self: self.outcome),
+        (api_calls.GuardedOutcome, "checked_at_send", lambda self: self.outcome),
     ),
-    "a reading passed on has no age": ((control_node, "PASSED_READING_US", LONG),),
-    "a refusal drawn from old settings": ((control_node.ControlNode, "no_zone", refused_for_good),),
-    "a directory's answer has no age": ((control_node, "NAMED_US", LONG),),
-    "messages leave however late": ((control_node, "LATE_SEND_US", LONG),),
+    "a reading passed on has no age": ((order_service, "FORWARDED_ANSWER_TTL_US", LONG),),
+    "a refusal drawn from old settings": ((order_service.OrderService, "unknown_zone", refused_for_good),),
+    "a directory's answer has no age": ((control_node, "RESOLUTION_TTL_US", LONG),),
+    "messages leave however late": ((control_node, "MAX_SEND_DELAY_US", LONG),),
     "a late vector lowers what was told": ((Subscriber, "_on_in_force_reply", takes_any_vector),),
     "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
     "a cut-off machine vouches": ((control_node.ControlNode, "is_in_force", lambda self, now: True),),
     "an order of evacuation bears no number": ((control_state, "apply_evacuation", evacuates_at_any_time),),
-    "what was held up is passed on": ((control_node, "OVERTAKEN_US", 1 << 61),),
+    "what was held up is passed on": ((order_service, "MAX_EVACUATION_DELAY_US", 1 << 61),),
     "disks that sync nothing": ((world.Machine, "save", lambda self, kept: Success(None)),),
 }
 
--- a/vetchusher/emulator/system/scenarios.py
+++ b/vetchusher/emulator/system/scenarios.py
@@ -23,19 +23,19 @@
 
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.errors import Error
-from vetchusher.node import operator_api
+from vetchusher.node import api_calls
 
 from .world import COLD_S, Scene, World, version_of
 
 PATIENCE = 15 * SECOND
 LAST = 3 * SECOND  # that a story goes on after its last row
 STOPPED = 20 * SECOND
-CALLS: dict[str, operator_api.Call] = {
-    "reads": operator_api.RetrieveConfiguration(),  # answered by `r5`, or a status
-    "unknown zone": operator_api.InitiateEvacuation("nowhere"),
-    "evacuates": operator_api.InitiateEvacuation("delta-b"),
-    "returns": operator_api.TerminateEvacuation("delta-b"),
-    "resolves": operator_api.ResolveAddresses("", "gulf", ""),
+CALLS: dict[str, api_calls.ApiCall] = {
+    "reads": api_calls.RetrieveConfiguration(),  # answered by `r5`, or a status
+    "unknown zone": api_calls.InitiateEvacuation("nowhere"),
+    "evacuates": api_calls.InitiateEvacuation("delta-b"),
+    "returns": api_calls.TerminateEvacuation("delta-b"),
+    "resolves": api_calls.ResolveAddresses("", "gulf", ""),
 }
 
 
@@ -90,11 +90,11 @@
     operator: list[str]
 
 
-def answer_of(outcome: Result[operator_api.Answer, Error]) -> str:
+def answer_of(outcome: Result[api_calls.ApiResult, Error]) -> str:
     if isinstance(outcome, Failure):
         return str(outcome.failure().status)
     answer = outcome.unwrap()
-    return f"r{version_of(answer)}" if isinstance(answer, operator_api.ConfigurationRetrieved) else "200"
+    return f"r{version_of(answer)}" if isinstance(answer, api_calls.ConfigurationRetrieved) else "200"
 
 
 def several(cell: str) -> list[str]:
@@ -196,7 +196,7 @@
         call, stops, _ = what.partition(" stops")
         name = self.machine(who)
 
-        def told(outcome: Result[operator_api.Answer, Error]) -> None:
+        def told(outcome: Result[api_calls.ApiResult, Error]) -> None:
             self.unanswered.remove(cell)
             if answer_of(outcome) not in expected.split():
                 self.world.judge.say("STORY", f"{asked} was answered {answer_of(outcome)}, not {expected}")
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -25,8 +25,9 @@
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import LogEvent
-from vetchusher.node import operator_api
+from vetchusher.node import api_calls
 from vetchusher.node.attempts import Got, Matter
+from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.paths import PeerNetwork
@@ -165,8 +166,8 @@
     return json.dumps(whole).encode()
 
 
-def version_of(answer: operator_api.Answer) -> int:
-    assert isinstance(answer, operator_api.ConfigurationRetrieved)
+def version_of(answer: api_calls.ApiResult) -> int:
+    assert isinstance(answer, api_calls.ConfigurationRetrieved)
     return int(json.loads(answer.body)["version"][1:])
 
 
@@ -274,7 +275,7 @@
         node = self.settings(machine, first)
         rng = random.Random(self.rng.randrange(1 << 40))
         paths = PeerNetwork(
-            loop, machine.ip, machine.zone, PORT, lambda frame, way: part.serve(frame, way), self.note
+            loop, machine.ip, machine.zone, PORT, lambda frame, way: part.on_frame(frame, way), self.note
         )
 
         def now() -> int:
@@ -283,10 +284,9 @@
         part: ControlNode | EdgeNode
         if machine.core:
             snapshots = cast(Any, DrawnSnapshotStore(machine))
-            part = ControlNode(
-                loop, node, paths, cast(Any, machine), machine.disk, snapshots, rng, now, self.note
-            )
-            part.server_list_client = Listing(self.servers)
+            context = NodeContext(loop, node, paths, rng, now, self.note)
+            part = ControlNode(context, cast(Any, machine), machine.disk, snapshots)
+            part.leader_roles.server_list_poller.client = Listing(self.servers)
         else:
             part = EdgeNode(loop, node, paths, rng, now, self.note)
             part.front.tries.session.detach()
@@ -455,14 +455,14 @@
     # -- the operator ----------------------------------------------------------------------------
 
     def order(
-        self, call: operator_api.Call, then: Callable[[operator_api.Answer], None], again: bool = True
+        self, call: api_calls.ApiCall, then: Callable[[api_calls.ApiResult], None], again: bool = True
     ) -> None:
         """To any core machine that runs, and to another, until one acknowledges it."""
         running = [m for m in self.cores if m.loop is not None and m.loop.alive and not m.loop.frozen]
         machine = self.rng.choice(running) if running else None
         open_ = [True]
 
-        def settled(outcome: Result[operator_api.Answer, Error] | None) -> None:
+        def settled(outcome: Result[api_calls.ApiResult, Error] | None) -> None:
             if not open_[0]:
                 return
             open_[0] = False
@@ -480,7 +480,7 @@
 
         async def settle() -> None:
             outcome = await part.execute(call)
-            told = outcome.checked_at_send() if isinstance(outcome, operator_api.GuardedOutcome) else outcome
+            told = outcome.checked_at_send() if isinstance(outcome, api_calls.GuardedOutcome) else outcome
             self.clock.after(MS, lambda: settled(told))
 
         loop.call_soon(lambda: loop.create_task(settle()))
@@ -488,8 +488,8 @@
     def call(
         self,
         name: str,
-        call: operator_api.Call,
-        then: Callable[[Result[operator_api.Answer, Error]], None],
+        call: api_calls.ApiCall,
+        then: Callable[[Result[api_calls.ApiResult, Error]], None],
         stands_still: int = 0,
     ) -> None:
         """At one core machine, by a caller who waits as long as it takes.
@@ -507,9 +507,9 @@
                 self.freeze(name, True)
                 self.clock.after(stands_still, lambda: self.freeze(name, False))
                 await asyncio.sleep(0)
-            told = outcome.checked_at_send() if isinstance(outcome, operator_api.GuardedOutcome) else outcome
+            told = outcome.checked_at_send() if isinstance(outcome, api_calls.GuardedOutcome) else outcome
             self.judge.at = self.clock.at
-            if isinstance(told, Success) and isinstance(told.unwrap(), operator_api.ConfigurationRetrieved):
+            if isinstance(told, Success) and isinstance(told.unwrap(), api_calls.ConfigurationRetrieved):
                 self.judge.read_out(name, version_of(told.unwrap()))
             then(told)
 
@@ -520,36 +520,34 @@
         self.version = max(self.version, version)
         self.judge.sends(Version(version, services_of(version)))
 
-        def done(_: operator_api.Answer) -> None:
+        def done(_: api_calls.ApiResult) -> None:
             self.judge.acknowledged(version)
             then()
 
-        self.order(operator_api.ReplaceConfiguration(configuration(version)), done)
+        self.order(api_calls.ReplaceConfiguration(configuration(version)), done)
 
     def evacuate(self, zone: str, on: bool, then: Callable[[], None] = lambda: None) -> None:
         if not on:
             self.judge.evacuated.pop(zone, None)
         self.judge.orders(zone, on)
 
-        def done(_: operator_api.Answer) -> None:
+        def done(_: api_calls.ApiResult) -> None:
             self.judge.settled(zone)
             if on:
                 self.judge.evacuated[zone] = self.clock.at
             then()
 
-        self.order(
-            operator_api.InitiateEvacuation(zone) if on else operator_api.TerminateEvacuation(zone), done
-        )
+        self.order(api_calls.InitiateEvacuation(zone) if on else api_calls.TerminateEvacuation(zone), done)
 
     def read_back(self) -> None:
         """At the end of a run, in calm times: what is in force has to come."""
         came: list[int] = []
         asked_at = self.clock.at
 
-        def done(answer: operator_api.Answer) -> None:
+        def done(answer: api_calls.ApiResult) -> None:
             came.append(version_of(answer))
 
-        self.order(operator_api.RetrieveConfiguration(), done)
+        self.order(api_calls.RetrieveConfiguration(), done)
         self.run(self.clock.at + 3 * SECOND)
         self.judge.at = self.clock.at
         self.judge.read_back(came[0] if came else None, asked_at)
--- /dev/null
+++ b/vetchusher/node/api_listener.py
@@ -0,0 +1,280 @@
+"""The listeners of the HTTP API: `ControlApi` for operators, `DirectoryApi` for clients' resolvers.
+
+A request is read completely, parsed by its endpoint, executed by whoever was handed in, and answered.  What
+is read, executed and buffered is bounded in number, bytes and time.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from aiohttp import web
+from aiohttp.http_exceptions import HttpProcessingError
+from returns.result import Failure, Result
+
+from vetchusher.errors import Error, ErrorCode
+from vetchusher.net.door import ClientLink, Door
+
+from .api_calls import ApiCall, ApiResult, ExecuteCall, GuardedOutcome, RejectionHook
+from .api_endpoints import (
+    CONTROL_ENDPOINTS,
+    DIRECTORY_ENDPOINTS,
+    MAX_NAME_CHARACTERS,
+    Endpoint,
+    OperatorRequest,
+    busy_response,
+    rejection,
+    response_of,
+    stale_response,
+)
+from .callers import has_hung_up, unread_for_s
+
+log = logging.getLogger("vetchusher")
+
+MAX_CONNECTIONS = 256
+MAX_BODY_BYTES = 64 << 20  # of a request, and of all that are read or executed at one time
+READ_TIMEOUT_S = 10.0  # from a request's head to the end of its body, and for a response to be taken
+MAX_CALL_S = 8.0  # a call that never ended would hold its connection and its body for good
+CALLER_TIMEOUT_S = 0.9  # a caller goes elsewhere after a second of silence, and later after a long body:
+CALLER_TIMEOUT_PER_BYTE_S = 12e-6  # 3 ms a route, of which the shortest takes some 240 bytes
+CLOSE_TIMEOUT_S = 1.0  # for calls in flight when the listener closes
+CLOSE_POLL_S = 0.02
+WRITE_CHUNK_BYTES = 1 << 16  # of a long response, between two checks of its guard
+
+
+@dataclass(slots=True, frozen=True)
+class PendingReply:
+    """The outcome of a call; it becomes a response only as it leaves."""
+
+    call: ApiCall
+    outcome: GuardedOutcome
+
+
+def caller_timeout_s(body: list[bytes]) -> float:
+    """Return the seconds for which a caller waits for the response, from the last byte of its body."""
+    return min(CALLER_TIMEOUT_S + sum(map(len, body)) * CALLER_TIMEOUT_PER_BYTE_S, MAX_CALL_S)
+
+
+class ApiListener:
+    """Owner of a listening socket and of its connections, `MAX_CONNECTIONS` at most.
+
+    A connection ends by its caller, by time, or in `close`.
+    """
+
+    def __init__(
+        self,
+        endpoints: tuple[Endpoint, ...],
+        execute: ExecuteCall,
+        address: tuple[str, int],
+        max_body_bytes: int = MAX_BODY_BYTES,
+        on_rejected: RejectionHook | None = None,
+    ) -> None:
+        """Prepare the listener; `open` listens.
+
+        :param on_rejected: is told of each call that was parsed and could not be granted
+        """
+        self.endpoints = endpoints
+        self.execute = execute
+        self.on_rejected = on_rejected
+        self.address = address
+        self.max_body_bytes = max_body_bytes
+        self.buffered_bytes = 0  # of bodies that are read or executed now
+        self.closing = False
+        self.listener: Door | None = None
+
+    def open(self) -> None:
+        """Listen, on the running loop.
+
+        :raises OSError: the address cannot be had
+        """
+        server = web.Server(self.handle, handler_cancellation=True, request_factory=self.make_request)
+        self.listener = Door(asyncio.get_running_loop(), server, MAX_CONNECTIONS)
+        self.listener.open(*self.address)
+        assert self.listener.listener is not None
+        self.address = self.listener.listener.getsockname()  # where any port was asked for: which it is
+
+    async def close(self) -> None:
+        """Accept no more connections, give calls in flight a moment, and end what is left."""
+        if self.listener is None:
+            return
+        listener, self.listener, self.closing = self.listener, None, True
+        await listener.close()
+        deadline = listener.loop.time() + CLOSE_TIMEOUT_S
+        while listener.links and listener.loop.time() < deadline:
+            await asyncio.sleep(CLOSE_POLL_S)
+        listener.stop()
+        for link in list(listener.links):
+            link.wire.abort()
+
+    def make_request(
+        self, message: Any, payload: Any, protocol: Any, writer: Any, task: asyncio.Task[None]
+    ) -> web.BaseRequest:
+        """Return aiohttp's request; bodies are bounded here, not by aiohttp."""
+        loop = asyncio.get_running_loop()
+        return web.BaseRequest(message, payload, protocol, writer, task, loop, client_max_size=0)
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer one request on its connection."""
+        link = request.protocol
+        assert isinstance(link, ClientLink)
+        try:
+            reply = await self.answer_request(request, link)
+            response = self.response_now(reply) if isinstance(reply, PendingReply) else reply
+            if self.closing:
+                response.force_close()
+            # A caller that has left: what it asked for stands, and nobody is there to be told.
+            with contextlib.suppress(ConnectionError):
+                # Without a bound, callers that ask for long responses and read none would hold them all.
+                async with asyncio.timeout(READ_TIMEOUT_S):
+                    if isinstance(reply, PendingReply) and is_long(response):
+                        return await send_in_chunks(request, link, response, reply.outcome.still_valid)
+                    await response.prepare(request)
+                    await response.write_eof()
+                    await request.writer.drain()
+        except TimeoutError:
+            link.wire.abort()
+        finally:
+            link.answered()
+        return response
+
+    def response_now(self, reply: PendingReply) -> web.Response:
+        """Return the response of a call as it may leave now; nothing may wait between this and the
+        writing.
+        """
+        outcome = reply.outcome.checked_at_send()
+        if isinstance(outcome, Failure) and self.on_rejected is not None:
+            self.on_rejected(reply.call, outcome.failure())
+        return response_of(outcome)
+
+    async def answer_request(self, request: web.BaseRequest, link: ClientLink) -> web.Response | PendingReply:
+        """Read, parse and execute one request."""
+        path, _, _ = request.raw_path.partition("?")
+        matches = [(each, match) for each in self.endpoints if (match := each.path.fullmatch(path))]
+        if not matches:
+            return rejection(404, "nothing is called this")
+        found = next(((each, match) for each, match in matches if each.method == request.method), None)
+        if found is None:
+            return rejection(405, f"not by {request.method}", {each.method for each, _ in matches})
+        endpoint, match = found
+        body: list[bytes] = []
+        try:
+            problem = await self.read_body(request, link, endpoint, body)
+            if problem is not None:
+                return problem
+            waited_s = unread_for_s(link.wire)
+            timeout_s = caller_timeout_s(body)
+            if has_hung_up(link.wire) or waited_s >= timeout_s:
+                # Safety: its caller has given the same order to another machine, and others since.
+                return stale_response()
+            parsed = OperatorRequest(match.groupdict(), dict(request.query), b"".join(body))
+            return await self.execute_call(endpoint, parsed, timeout_s - waited_s)
+        finally:
+            self.buffered_bytes -= sum(map(len, body))
+
+    async def read_body(
+        self, request: web.BaseRequest, link: ClientLink, endpoint: Endpoint, body: list[bytes]
+    ) -> web.Response | None:
+        """Read the body into `body`, counted in `buffered_bytes`.
+
+        A hundred long bodies at once would be more than the process may hold.
+
+        :returns: the response to a body that cannot be had; None: it was read
+        """
+        if (request.content_length or 0) > self.max_body_bytes:
+            return rejection(413, f"more than {self.max_body_bytes} bytes")
+        if request.headers.get("Expect", "").lower() == "100-continue":
+            link.wire.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+        size = 0
+        try:
+            async with asyncio.timeout(READ_TIMEOUT_S):
+                async for part in request.content.iter_any():
+                    size += len(part)
+                    if size > self.max_body_bytes:
+                        return rejection(413, f"more than {self.max_body_bytes} bytes")
+                    if endpoint.has_body:
+                        if self.buffered_bytes + len(part) > self.max_body_bytes:
+                            return busy_response()
+                        body.append(part)
+                        self.buffered_bytes += len(part)
+        except TimeoutError:
+            return rejection(408, f"not whole after {READ_TIMEOUT_S:g} s")
+        except (web.RequestPayloadError, HttpProcessingError) as error:
+            return rejection(400, " ".join(str(error).split())[:MAX_NAME_CHARACTERS])
+        return None
+
+    async def execute_call(
+        self, endpoint: Endpoint, request: OperatorRequest, timeout_s: float
+    ) -> web.Response | PendingReply:
+        """Parse a request and execute its call.
+
+        :param timeout_s: for which the caller still waits
+        """
+        parsed = endpoint.parse(request)
+        if isinstance(parsed, Failure):
+            return response_of(parsed)
+        call = parsed.unwrap()
+        outcome: Result[ApiResult, Error] | GuardedOutcome
+        try:
+            async with asyncio.timeout(timeout_s):
+                outcome = await self.execute(call)
+        except TimeoutError:
+            outcome = Failure(Error(ErrorCode.UNAVAILABLE, f"no clear answer in {timeout_s:.1f} s"))
+        if not isinstance(outcome, GuardedOutcome):
+            outcome = GuardedOutcome(outcome, lambda: True)
+        return PendingReply(call, outcome)
+
+
+def is_long(response: web.Response) -> bool:
+    """Return whether a response is to be sent in chunks."""
+    return isinstance(response.body, bytes) and len(response.body) > WRITE_CHUNK_BYTES
+
+
+async def send_in_chunks(
+    request: web.BaseRequest, link: ClientLink, full: web.Response, still_valid: Callable[[], bool]
+) -> web.StreamResponse:
+    """Send a long response; it is broken off where its guard fails before the last chunk is written.
+
+    Safety: what the kernel does not take at once waits in this process, as long as that is paused.
+    """
+    body = full.body
+    assert isinstance(body, bytes)
+    response = web.StreamResponse(status=full.status, headers=full.headers)
+    response.content_length = len(body)
+    if full.keep_alive is False:
+        response.force_close()
+    await response.prepare(request)
+    for start in range(0, len(body), WRITE_CHUNK_BYTES):
+        if start and not still_valid():
+            link.wire.abort()
+            return response
+        await response.write(body[start : start + WRITE_CHUNK_BYTES])
+    await response.write_eof()
+    await request.writer.drain()
+    return response
+
+
+class ControlApi(ApiListener):
+    """Operators' calls."""
+
+    def __init__(
+        self,
+        execute: ExecuteCall,
+        address: tuple[str, int],
+        max_body_bytes: int = MAX_BODY_BYTES,
+        on_rejected: RejectionHook | None = None,
+    ) -> None:
+        """Prepare a listener for operators."""
+        super().__init__(CONTROL_ENDPOINTS, execute, address, max_body_bytes, on_rejected)
+
+
+class DirectoryApi(ApiListener):
+    """Clients' questions for ingresses."""
+
+    def __init__(self, execute: ExecuteCall, address: tuple[str, int]) -> None:
+        """Prepare a listener for clients' resolvers."""
+        super().__init__(DIRECTORY_ENDPOINTS, execute, address, MAX_NAME_CHARACTERS)
--- /dev/null
+++ b/vetchusher/node/context.py
@@ -0,0 +1,39 @@
+"""What every part of a process is given: its loop, its settings, its peers, clock, random numbers and log."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from vetchusher.events import LogEvent
+from vetchusher.settings.node import NodeSettings
+
+from .paths import PeerNetwork
+
+
+@dataclass(slots=True)
+class NodeContext:
+    """The process as its parts see it.
+
+    :param settings: replaced when the settings file changes
+    :param now: microseconds of the steady clock
+    """
+
+    loop: asyncio.AbstractEventLoop
+    settings: NodeSettings
+    network: PeerNetwork
+    rng: random.Random
+    now: Callable[[], int]
+    log_event: Callable[[LogEvent], None]
+
+    @property
+    def own_ip(self) -> str:
+        """Address of this machine, by which its peers know it."""
+        return self.settings.ip_address
+
+    @property
+    def seeds(self) -> list[str]:
+        """Addresses of the machines to ask first."""
+        return [host for host, _ in self.settings.seed_nodes]
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -25,8 +25,8 @@
 from vetchusher.settings.configuration import Configuration
 from vetchusher.settings.node import NodeSettings
 
+from .api_calls import AddressesResolved, GuardedOutcome, ResolveAddresses
 from .following import SubscriberDriver
-from .operator_api import AddressesResolved, GuardedOutcome, ResolveAddresses
 from .paths import Channel, PeerNetwork
 from .proxy import Proxy, Readiness
 from .reading import MAX_BYTES_ON_LOOP, ConfigurationParser
@@ -78,7 +78,7 @@
 
     # -- keeping up -------------------------------------------------------------------------
 
-    def serve(self, frame: wire.Frame, channel: Channel) -> None:
+    def on_frame(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
         if kind == "heartbeat_reply":
             self.carry_sends(
--- /dev/null
+++ b/vetchusher/node/leader_roles.py
@@ -0,0 +1,120 @@
+"""Singleton roles of the control node that leads: quota coordinator, poller of the server list, directory.
+
+They run while the leader lease is valid.  A lease that lapses and is regained within its epoch continues
+them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from vetchusher.control import Replica
+from vetchusher.directory.presence import Presence
+from vetchusher.distribution.source import Source
+from vetchusher.events import Event, LogEvent
+from vetchusher.limits.totals import QuotaCoordinator
+from vetchusher.limits.windows import Bounds as QuotaBounds
+from vetchusher.settings.configuration import Configuration
+
+from .context import NodeContext
+from .server_list_poller import ServerListPoller
+
+
+class LeaderRoles:
+    """Owner of the quota coordinator and of the task that polls the server list."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        replica: Replica,
+        presence: Presence,
+        directory: Source,
+        server_list_poller: ServerListPoller,
+        notify_watchers: Callable[[], None],
+    ) -> None:
+        self.context = context
+        self.replica = replica
+        self.presence = presence
+        self.directory = directory
+        self.server_list_poller = server_list_poller
+        self.notify_watchers = notify_watchers
+        self.configuration: Configuration | None = None
+        self.quota_coordinator: QuotaCoordinator | None = None
+        # Of the epoch whose lease lapsed last: the lease may be regained.
+        self.paused_quota_coordinator: QuotaCoordinator | None = None
+        self.server_list_task: asyncio.Task[None] | None = None
+
+    def tick(self, now: int) -> None:
+        """Start or stop the roles by the lease, and carry on those that run."""
+        is_leader = self.replica.is_leader(now)
+        if is_leader and (self.server_list_task is None or self.server_list_task.done()):
+            self.start(now)
+        elif not is_leader and self.quota_coordinator is not None:
+            self.stop()
+        coordinator = self.quota_coordinator
+        if coordinator is None:
+            return
+        coordinator.fleet(now, self.presence.may_serve())
+        fields = coordinator.log_fields()
+        if fields is not None:
+            facts = {"epoch": coordinator.epoch, **fields}
+            self.context.log_event(LogEvent(Event.QUOTA_COORDINATOR_STATUS, facts))
+        self.publish_ingresses()
+
+    def start(self, now: int) -> None:
+        """Start the roles of the epoch that this machine leads."""
+        epoch = self.replica.epoch
+        for name in self.directory.rows:
+            self.presence.remember(now, name)
+        if self.quota_coordinator is None:
+            self.quota_coordinator = self.coordinator_for(epoch, now)
+            self.quota_coordinator.fleet(now, self.presence.may_serve())
+            if self.configuration is not None:
+                self.quota_coordinator.configure(now, self.configuration.tenants)
+        self.server_list_task = self.context.loop.create_task(self.server_list_poller.run(epoch))
+
+    def stop(self) -> None:
+        """Stop the roles: the lease is not valid."""
+        self.paused_quota_coordinator, self.quota_coordinator = self.quota_coordinator, None
+        if self.server_list_task is not None:
+            self.server_list_task.cancel()
+        self.context.log_event(LogEvent(Event.QUOTA_COORDINATOR_STOPPED))
+
+    def coordinator_for(self, epoch: int, now: int) -> QuotaCoordinator:
+        """Return the coordinator of an epoch, the paused one where it is of that epoch.
+
+        Safety: ingresses know coordinators by the epoch.  One that began anew within it would be taken for
+        the one that has been told of everything that was admitted.
+        """
+        paused = self.paused_quota_coordinator
+        if paused is not None and paused.epoch == epoch:
+            return paused
+        bounds = self.context.settings.bounds
+        quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
+        return QuotaCoordinator(epoch, now, quota)
+
+    def configure(self, configuration: Configuration | None) -> None:
+        """Take the configuration that was committed last; None: there is none yet."""
+        self.configuration = configuration
+
+    def apply_configuration(self, now: int) -> None:
+        """Hand the tenants of the configuration to the coordinator."""
+        if self.quota_coordinator is not None and self.configuration is not None:
+            self.quota_coordinator.configure(now, self.configuration.tenants)
+
+    def publish_ingresses(self) -> None:
+        """Publish which ingresses may be serving: quotas are divided by them, neighbours chosen from them."""
+        rows = self.presence.rows(self.context.now())
+        if rows == self.directory.values():
+            return
+        epoch, seq = self.directory.stamp
+        stamp = (self.replica.epoch, seq + 1 if epoch == self.replica.epoch else 1)
+        if self.directory.publish(stamp, rows):
+            self.notify_watchers()
+
+    async def close(self) -> None:
+        """Stop polling."""
+        if self.server_list_task is not None:
+            self.server_list_task.cancel()
+        await self.server_list_poller.close()
--- /dev/null
+++ b/vetchusher/node/order_service.py
@@ -0,0 +1,249 @@
+"""Operators' orders at a control node: committed here where it leads, else forwarded once to the leader.
+
+Answers that are drawn from state (reads, rejections for good) are guarded: they are checked again as they
+leave, since this machine may be paused, and followed by another leader, at any point between decision and
+answer.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from returns.result import Failure, Result, Success
+
+from vetchusher import control
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.errors import Error, ErrorCode
+
+from .api_calls import (
+    ApiCall,
+    ApiResult,
+    ConfigurationReplaced,
+    ConfigurationRetrieved,
+    EvacuationSet,
+    GuardedOutcome,
+    InitiateEvacuation,
+    ReplaceConfiguration,
+    RetrieveConfiguration,
+    TerminateEvacuation,
+)
+from .context import NodeContext
+from .paths import Channel
+from .reading import ConfigurationParser
+
+FORWARD_TIMEOUT_S = 2.5  # for the leader's answer to a forwarded order
+FORWARDED_ANSWER_TTL_US = 1_000_000  # since it was forwarded: its answer is given out no later
+MAX_EVACUATION_DELAY_US = 900_000  # since it came: an evacuation is forwarded no later
+RETRY_AFTER_US = 300_000  # told to a caller while no leader answers
+DISK_RETRY_AFTER_US = 500_000  # told where the disk refuses; it is tried as often (`Timing.persist_retry_us`)
+
+Outcome = Result[ApiResult, Error] | GuardedOutcome
+
+
+class OrderService:
+    """Owner of the orders that wait for the replica, by the id that it was given."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        replica: control.Replica,
+        parser: ConfigurationParser,
+        feed: Callable[[control.Input], None],
+        is_in_force: Callable[[int], bool],
+        disk_failure: Callable[[], str],
+    ) -> None:
+        """:param feed: hands an input to the replica
+        :param is_in_force: whether a majority stands behind what this machine published
+        :param disk_failure: why the disk refused the last write; empty: it did not
+        """
+        self.context = context
+        self.replica = replica
+        self.parser = parser
+        self.feed = feed
+        self.is_in_force = is_in_force
+        self.disk_failure = disk_failure
+        self.pending: dict[int, asyncio.Future[Result[bytes, Error]]] = {}
+        self.next_order_id = 1
+
+    # -- calls of operators ------------------------------------------------------------------------
+
+    async def execute(self, call: ApiCall) -> Outcome:
+        """Carry out an operator's call."""
+        match call:
+            case ReplaceConfiguration(body):
+                return await self.replace_configuration(body)
+            case RetrieveConfiguration():
+                message = wire.OrderAsked(retrieve=wire.RetrieveConfiguration())
+                decided = await self.commit_or_forward(control.RetrieveOrder(), message)
+                return GuardedOutcome(decided.outcome.map(ConfigurationRetrieved), decided.still_valid)
+            case InitiateEvacuation(zone):
+                return await self.set_evacuation(zone, on=True)
+            case TerminateEvacuation(zone):
+                return await self.set_evacuation(zone, on=False)
+        return Failure(Error(ErrorCode.NOT_FOUND, "no such call"))
+
+    async def replace_configuration(self, body: bytes) -> Outcome:
+        """Check a configuration completely, then commit it."""
+        parsed = await self.parser.parse(body)
+        if isinstance(parsed, Failure):
+            return Failure(parsed.failure())
+        order = control.ReplaceOrder(parsed.unwrap().version, body)
+        message = wire.OrderAsked(replace=wire.ReplaceConfiguration(body=body))
+        return acknowledged(await self.commit_or_forward(order, message), ConfigurationReplaced())
+
+    async def set_evacuation(self, zone: str, *, on: bool) -> Outcome:
+        """Begin or end the evacuation of a zone."""
+        if zone not in self.context.settings.zones:
+            return self.unknown_zone(zone)
+        message = wire.OrderAsked(evacuate=wire.Evacuate(zone=zone, on=on))
+        decided = await self.commit_or_forward(control.EvacuationOrder(zone, on), message)
+        return acknowledged(decided, EvacuationSet(zone, on))
+
+    def unknown_zone(self, zone: str) -> GuardedOutcome:
+        """Reject a zone that the settings do not name.
+
+        Safety: the settings of a machine that is cut off may be older than the zone, and a 404 ends an order.
+        """
+        unknown = Failure(Error(ErrorCode.NOT_FOUND, f"no zone {zone}"))
+        return GuardedOutcome(unknown, lambda: self.is_in_force(self.context.now()))
+
+    async def commit_or_forward(self, order: control.Order, message: wire.OrderAsked) -> GuardedOutcome:
+        """Commit an order here where this machine leads; else forward it once.
+
+        Safety: evacuations have no version.  One that waited at a listener while this process was paused may
+        be older than its end, which others have acknowledged since.
+        """
+        if isinstance(order, control.EvacuationOrder) and self.replica.was_paused(self.context.now()):
+            waited = Failure(Error(ErrorCode.UNAVAILABLE, "it may have waited here", RETRY_AFTER_US))
+            return GuardedOutcome(waited, lambda: True)
+        if self.replica.is_leader(self.context.now()):
+            return await self.commit_here(order)
+        forwarded_at = self.context.now()
+        outcome = await self.forward(message)
+        expires_at = forwarded_at + FORWARDED_ANSWER_TTL_US
+        return GuardedOutcome(outcome, lambda: self.context.now() <= expires_at)
+
+    # -- at the leader -----------------------------------------------------------------------------
+
+    async def commit_here(self, order: control.Order) -> GuardedOutcome:
+        """Commit an order in the epoch that this machine leads; the outcome is valid as long as it does."""
+        epoch = self.replica.epoch
+        return GuardedOutcome(await self.submit(order), lambda: self.is_leader_of(epoch))
+
+    def is_leader_of(self, epoch: int) -> bool:
+        """Return whether this machine leads an epoch under a valid lease."""
+        return self.replica.is_leader(self.context.now()) and self.replica.epoch == epoch
+
+    async def submit(self, order: control.Order) -> Result[bytes, Error]:
+        """Hand an order to the replica and wait for its answer."""
+        order_id, self.next_order_id = self.next_order_id, self.next_order_id + 1
+        future: asyncio.Future[Result[bytes, Error]] = self.context.loop.create_future()
+        self.pending[order_id] = future
+        try:
+            self.feed(control.Submitted(order_id, order))
+            return (await future).alt(self.explain)
+        finally:
+            del self.pending[order_id]
+
+    def complete(self, order_id: int, outcome: Result[bytes, Error]) -> None:
+        """Take the replica's answer to an order."""
+        future = self.pending.get(order_id)
+        if future is not None and not future.done():
+            future.set_result(outcome)
+
+    def explain(self, error: Error) -> Error:
+        """Add to an order that was not committed that the disk here refuses writes, if it does."""
+        failure = self.disk_failure()
+        if error.code is not ErrorCode.UNAVAILABLE or not failure:
+            return error
+        return Error(error.code, f"{error.text}; the disk here refuses: {failure}", DISK_RETRY_AFTER_US)
+
+    # -- forwarding --------------------------------------------------------------------------------
+
+    async def forward(self, message: wire.OrderAsked) -> Result[bytes, Error]:
+        """Forward an order to the leader and return its answer."""
+        primary = self.replica.primary_ip
+        if not primary or primary == self.context.own_ip:
+            return Failure(Error(ErrorCode.UNAVAILABLE, "no primary is known", RETRY_AFTER_US))
+        reply = await self.request_leader(primary, message)
+        if reply is None or reply.WhichOneof("body") != "done":
+            return Failure(Error(ErrorCode.UNAVAILABLE, "no answer from the primary", RETRY_AFTER_US))
+        if reply.done.kind:
+            return Failure(forwarded_error(reply.done))
+        return Success(reply.done.body)
+
+    async def request_leader(self, primary: str, message: wire.OrderAsked) -> wire.Frame | None:
+        """Return the leader's answer to a forwarded order; None: there was none in time.
+
+        Safety: an evacuation goes with the number of the zone's last order, as its caller may have given the
+        same order elsewhere by now, and others since.  Delayed here, it is dropped; on its way, it is
+        rejected by the number.
+        """
+        received_at = self.context.now()
+        network = self.context.network
+        if message.HasField("evacuate"):
+            question = wire.EvacuationNumberAsked(zone=message.evacuate.zone)
+            frame = wire.Frame(order=wire.OrderAsked(evacuation_number=question))
+            reply = await network.request(primary, frame, FORWARD_TIMEOUT_S)
+            if reply is None or reply.WhichOneof("body") != "done" or reply.done.kind:
+                return reply
+            if self.context.now() >= received_at + MAX_EVACUATION_DELAY_US:
+                return None
+            message.evacuate.after = reply.done.number
+        return await network.request(primary, wire.Frame(order=message), FORWARD_TIMEOUT_S)
+
+    async def on_forwarded_order(self, frame: wire.Frame, channel: Channel) -> None:
+        """Answer another control node's order: it is committed here, or not at all."""
+        message = frame.order
+        if message.HasField("evacuation_number") and self.replica.is_leader(self.context.now()):
+            number = self.replica.last_evacuation_order(message.evacuation_number.zone)
+            channel.reply(frame, wire.Frame(done=wire.OrderDone(number=number)))
+            return
+        done = wire.OrderDone()
+        match await self.execute_forwarded(message):
+            case Success(body):
+                done.body = body
+            case Failure(error):
+                done.kind, done.text = error.code.value, error.text
+        channel.reply(frame, wire.Frame(done=done))
+
+    async def execute_forwarded(self, message: wire.OrderAsked) -> Result[bytes, Error]:
+        """Return the outcome as it may leave: reads and rejections for good only under the lease."""
+        if not self.replica.is_leader(self.context.now()):
+            return Failure(Error(ErrorCode.UNAVAILABLE, "not the primary"))
+        match message.WhichOneof("order"):
+            case "replace":
+                parsed = await self.parser.parse(message.replace.body)
+                if isinstance(parsed, Failure):
+                    return Failure(parsed.failure())
+                order = control.ReplaceOrder(parsed.unwrap().version, message.replace.body)
+                return acknowledged(await self.commit_here(order), b"").checked_at_send()
+            case "retrieve":
+                return (await self.commit_here(control.RetrieveOrder())).checked_at_send()
+            case "evacuate":
+                decided = await self.commit_here(evacuation_order(message.evacuate))
+                return acknowledged(decided, b"").checked_at_send()
+        return Failure(Error(ErrorCode.UNAVAILABLE, "no such order"))
+
+
+def forwarded_error(done: wire.OrderDone) -> Error:
+    """Return the leader's error.
+
+    Safety: a code of a newer release may be no rejection: the caller is to come back.
+    """
+    code = ErrorCode(done.kind) if done.kind in set(ErrorCode) else ErrorCode.UNAVAILABLE
+    return Error(code, done.text, RETRY_AFTER_US if code is ErrorCode.UNAVAILABLE else 0)
+
+
+def evacuation_order(message: wire.Evacuate) -> control.EvacuationOrder:
+    """Return the order of a forwarded message."""
+    previous_order = message.after if message.HasField("after") else None
+    return control.EvacuationOrder(message.zone, message.on, previous_order)
+
+
+def acknowledged(decided: GuardedOutcome, answer: object) -> GuardedOutcome:
+    """Return the answer to a change: once committed it stays acknowledged, whoever leads by now."""
+    if isinstance(decided.outcome, Success):
+        return GuardedOutcome(Success(answer), lambda: True)
+    return decided
--- a/vetchusher/node/process.py
+++ b/vetchusher/node/process.py
@@ -36,7 +36,7 @@
 class Part(Protocol):
     """What a process does beside the paths between processes."""
 
-    def serve(self, frame: wire.Frame, channel: Channel) -> None: ...
+    def on_frame(self, frame: wire.Frame, channel: Channel) -> None: ...
 
     async def run(self) -> None: ...
 
@@ -67,17 +67,17 @@
         self.loop, self.node, self.path = loop, node, path
         self.rng = random.Random(int.from_bytes(os.urandom(8), "big"))
         self.log_event: Callable[[LogEvent], None] = log_event
-        self.paths = PeerNetwork(
-            loop, node.ip_address, node.zone, node.internal_ports[0], self.serve, self.log_event
+        self.network = PeerNetwork(
+            loop, node.ip_address, node.zone, node.internal_ports[0], self.on_frame, self.log_event
         )
         self.parts: list[Part] = []
         self.listeners: list[Listener] = []
         self.stop_requested = asyncio.Event()
         self.settings_version = self.read_settings_version()
 
-    def serve(self, frame: wire.Frame, channel: Channel) -> None:
+    def on_frame(self, frame: wire.Frame, channel: Channel) -> None:
         for part in self.parts:
-            part.serve(frame, channel)
+            part.on_frame(frame, channel)
 
     async def start_parts(self) -> str:
         """Put together what the settings ask for; a line if that cannot be done."""
@@ -89,24 +89,25 @@
         if "edge" in node.serves:
             from .edge_node import EdgeNode
 
-            edge = EdgeNode(self.loop, node, self.paths, self.rng, steady_us, self.log_event)
+            edge = EdgeNode(self.loop, node, self.network, self.rng, steady_us, self.log_event)
             self.parts.append(edge)
             await edge.open()
             if node.listen.directory is not None and not node.data_directory:
-                from .operator_api import DirectoryApi
+                from .api_listener import DirectoryApi
 
                 door = DirectoryApi(edge.execute, node.listen.directory)
                 self.listeners.append(door)
                 door.open()
-        await self.paths.open()
+        await self.network.open()
         return ""
 
     async def start_control(self) -> str:
         from vetchusher.control import Store
         from vetchusher.distribution.snapshot import SnapshotStore
 
+        from .api_listener import ControlApi, DirectoryApi
+        from .context import NodeContext
         from .control_node import ControlNode
-        from .operator_api import ControlApi, DirectoryApi
 
         node = self.node
         opened = Store.open(node.data_directory, node.limits.disk_mb)
@@ -127,17 +128,8 @@
         shelf = SnapshotStore.open(node.data_directory, node.limits.disk_mb)
         if isinstance(shelf, Failure):
             self.log_event(LogEvent(Event.STORE_FAILED, {"why": shelf.failure().text}))
-        control_node = ControlNode(
-            self.loop,
-            node,
-            self.paths,
-            store,
-            kept,
-            shelf.value_or(None),
-            self.rng,
-            steady_us,
-            self.log_event,
-        )
+        context = NodeContext(self.loop, node, self.network, self.rng, steady_us, self.log_event)
+        control_node = ControlNode(context, store, kept, shelf.value_or(None))
         self.parts.append(control_node)
         if node.listen.control is not None:
             most = max_configuration_bytes(node)
@@ -177,7 +169,7 @@
             await door.close()
         for task in tasks:
             task.cancel()
-        await self.paths.close()
+        await self.network.close()
         self.log_event(LogEvent(Event.STOPPED))
         return 0
 
--- /dev/null
+++ b/vetchusher/node/update_publisher.py
@@ -0,0 +1,60 @@
+"""Publishes what a control node knows: answers to pulls, and version vectors to whoever sent heartbeats."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+
+from vetchusher.distribution import wire_pb2 as wire
+from vetchusher.distribution.source import Source
+
+from .paths import Channel, PeerNetwork
+from .publishing import UpdateCache
+
+MAX_WATCHERS = 2048
+
+
+class UpdatePublisher:
+    """Owner of the watchers: machines that sent a heartbeat, to which a new version vector is sent
+    unasked.
+    """
+
+    def __init__(
+        self,
+        network: PeerNetwork,
+        sources: Mapping[str, Source],
+        heartbeat_reply: Callable[[], wire.HeartbeatReply],
+    ) -> None:
+        """:param heartbeat_reply: makes the answer to a heartbeat of this moment"""
+        self.network = network
+        self.heartbeat_reply = heartbeat_reply
+        self.cache = UpdateCache(sources)
+        self.watchers: dict[str, Channel] = {}  # by address
+
+    def on_heartbeat(self, frame: wire.Frame, channel: Channel) -> None:
+        """Watch the sender and answer, with the updates that it lacks where it wants them."""
+        heartbeat = frame.heartbeat
+        if heartbeat.ip in self.watchers or len(self.watchers) < MAX_WATCHERS:
+            self.watchers[heartbeat.ip] = channel
+        updates = b""
+        if heartbeat.wants_news:
+            updates = self.cache.updates_for(heartbeat.vector, in_heartbeat_reply=True)
+        channel.reply(frame, wire.Frame(heartbeat_reply=self.heartbeat_reply()), updates)
+
+    def on_pull(self, frame: wire.Frame, channel: Channel) -> None:
+        """Answer with the updates that the sender lacks."""
+        channel.reply(frame, wire.Frame(), self.updates_for(frame.pull.vector))
+
+    def updates_for(self, vector: Iterable[wire.SourceAt]) -> bytes:
+        """Return the updates that the holder of a version vector lacks, encoded."""
+        return self.cache.updates_for(vector)
+
+    def notify_watchers(self) -> None:
+        """Send the version vector to all watchers: whoever lacks something pulls at once."""
+        self.broadcast(wire.Frame(heartbeat_reply=self.heartbeat_reply()))
+
+    def broadcast(self, frame: wire.Frame) -> None:
+        """Send a frame to all watchers; those whose connection is gone are forgotten."""
+        self.network.sign(frame)
+        for ip, channel in list(self.watchers.items()):
+            if not channel.write(frame):
+                del self.watchers[ip]
