--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -37,7 +37,7 @@
 from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import PeerNetwork
+from vetchusher.node.peer_network import PeerNetwork
 from vetchusher.routing.claims import Seen
 from vetchusher.routing.request import Answer, Head, Send, judge
 from vetchusher.settings.compiled import form
@@ -163,7 +163,7 @@
 async def take(node: EdgeNode, file: Path) -> None:
     news = wire.News.FromString(file.read_bytes())
     await node.subscriber_driver.apply_updates(0, news)
-    while node.reader is not None:
+    while node.parse_task is not None:
         await asyncio.sleep(0.002)
 
 
@@ -190,9 +190,9 @@
         found[f"{name}_changed_mb"] = memory_mb()
     found["end_mb"], found["peak_mb"] = memory_mb(), memory_mb("VmHWM")
     watch.task.cancel()
-    found["version"], found["servers_known"] = node.version, len(node.known)
+    found["version"], found["servers_known"] = node.version, len(node.servers)
     found["request_us"], found["request_99_us"] = requests(node, routes, tenants)
-    node.front.tries.session.detach()
+    node.proxy.tries.session.detach()
     await node.subscriber_driver.close()
     return found
 
@@ -206,7 +206,7 @@
 
 def requests(node: EdgeNode, routes: int, tenants: int) -> tuple[float, float]:
     """us of processor for all decisions on one request that goes to one server: median, and 99 in 100."""
-    rng, ground, spent = random.Random(1), node.front.ground, []
+    rng, ground, spent = random.Random(1), node.proxy.ground, []
     ground.fresh_until = 1 << 62
     drawn = [rng.randrange(tenants) for _ in range(DRAWN)]
     held = QuotaCoordinator(1, steady_us())
@@ -239,9 +239,9 @@
 
 def sync(node: EdgeNode, held: QuotaCoordinator) -> None:
     """The totals of the drawn tenants, as the holder would tell them."""
-    push = node.tally.push(steady_us())
+    push = node.quota.push(steady_us())
     if push is not None:
-        node.tally.on_totals(steady_us(), held.on_push(steady_us(), push))
+        node.quota.on_totals(steady_us(), held.on_push(steady_us(), push))
 
 
 # -- a control member ------------------------------------------------------------------------------
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -32,8 +32,8 @@
 from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import PeerNetwork
-from vetchusher.node.platform import ServerListClient
+from vetchusher.node.peer_network import PeerNetwork
+from vetchusher.node.server_list_client import ServerListClient
 from vetchusher.settings.node import Bounds, CloudApi, Listen, NodeSettings
 
 Settled: TypeAlias = Result[api_calls.ApiResult, Error] | api_calls.GuardedOutcome
@@ -377,7 +377,7 @@
             now, due = part.now(), self.size.requests * STEP / SECOND
             count = int(due) + (self.rng.random() < due % 1)
             for _ in range(count):
-                part.tally.admit(now, f"t{self.rng.randrange(self.size.tenants):06d}")
+                part.quota.admit(now, f"t{self.rng.randrange(self.size.tenants):06d}")
 
     def spend(self, seconds: float, doing: Callable[[], object] = lambda: None) -> Spent:
         """What all processes send and use while `doing` is carried out and until the span is over."""
@@ -403,7 +403,7 @@
                 if process.part.snapshot_writer is not None:
                     process.part.snapshot_writer.store.close()
             elif process.part is not None:
-                process.part.front.tries.session.detach()
+                process.part.proxy.tries.session.detach()
         gc.unfreeze()
         gc.collect()
         gc.enable()
--- a/benchmarks/capacity/loopback.py
+++ b/benchmarks/capacity/loopback.py
@@ -28,7 +28,7 @@
 from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import Channel, PeerNetwork
+from vetchusher.node.peer_network import Channel, PeerNetwork
 from vetchusher.settings.node import Listen, NodeSettings
 
 SETTLE_S, SPAN_S = 8.0, 8.0
@@ -46,12 +46,12 @@
         write = Channel.write
 
         def counted(channel: Channel, frame: wire.Frame, more: bytes = b"") -> bool:
-            before = channel.paths.bytes_out
+            before = channel.network.bytes_out
             sent = write(channel, frame, more)
             if sent:
-                ip = channel.paths.ip
+                ip = channel.network.ip
                 self.frames[ip] = self.frames.get(ip, 0) + 1
-                self.bytes[ip] = self.bytes.get(ip, 0) + channel.paths.bytes_out - before
+                self.bytes[ip] = self.bytes.get(ip, 0) + channel.network.bytes_out - before
             return sent
 
         with patch.object(Channel, "write", counted):
@@ -134,9 +134,9 @@
             task.cancel()
         for part in self.parts.values():
             if isinstance(part, EdgeNode):
-                await part.front.tries.session.close()
+                await part.proxy.tries.session.close()
             await part.subscriber_driver.close()
-            await (part.paths if isinstance(part, EdgeNode) else part.context.network).close()
+            await (part.network if isinstance(part, EdgeNode) else part.context.network).close()
 
 
 def silent(_: LogEvent) -> None:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -23,10 +23,10 @@
 from vetchusher.emulator.system.local import claim_net
 from vetchusher.emulator.system.mutations import planted
 from vetchusher.emulator.system.world import Scene, World
-from vetchusher.node import api_calls, api_listener, paths, proxy
-from vetchusher.node.callers import has_hung_up, unread_for_s
-from vetchusher.node.lives import IncarnationTracker
-from vetchusher.node.platform import ServerListClient
+from vetchusher.node import api_calls, api_listener, peer_network, proxy
+from vetchusher.node.caller_connection import has_hung_up, unread_for_s
+from vetchusher.node.incarnations import IncarnationTracker
+from vetchusher.node.server_list_client import ServerListClient
 from vetchusher.settings.node import CloudApi
 
 ID = "X-Vetchusher-Attempt-Id"
@@ -461,7 +461,7 @@
             loop = asyncio.get_running_loop()
             heard = asyncio.Queue()
             asks, other = (
-                paths.PeerNetwork(
+                peer_network.PeerNetwork(
                     loop, f"{net}{n}", "a", 17_561, lambda *frame: heard.put_nowait(frame), mock.Mock()
                 )
                 for n in (2, 3)
@@ -573,7 +573,7 @@
         world.run(world.clock.at + SECOND)
         world.servers.remove("10.9.0.5")
         world.run(world.clock.at + 2 * SECOND)
-        known = world.machines["e1"].part.known.values()
+        known = world.machines["e1"].part.servers.values()
         self.assertNotIn("10.9.0.5:80", [server.address for _, server in known])
 
     def pressed(self):
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -241,7 +241,7 @@
         self.assertGreater(leader.discovery.stamp, (epoch, seq))
         for machine in world.ingresses:
             assert isinstance(machine.part, EdgeNode)
-            _, server = machine.part.known[world.servers.at_address[ip].instance]
+            _, server = machine.part.servers[world.servers.at_address[ip].instance]
             self.assertTrue(server.draining)
 
     def test_the_totals_are_held_on_by_it(self) -> None:
--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -28,7 +28,7 @@
 from vetchusher.emulator.cuts import Cuts
 from vetchusher.emulator.system.local import LATER_CORE, LocalSystem, claim_net
 from vetchusher.emulator.wal import Commits
-from vetchusher.node import paths
+from vetchusher.node import peer_network
 
 
 def drawn(text):
@@ -135,7 +135,7 @@
             net, held = claim_net(random.Random())
             heard, loop = asyncio.Event(), asyncio.get_running_loop()
             asks, other = (
-                paths.PeerNetwork(
+                peer_network.PeerNetwork(
                     loop, f"{net}{n}", "a", 17_560, lambda frame, way: heard.set(), lambda note: None
                 )
                 for n in (2, 3)
@@ -148,7 +148,7 @@
                 await heard.wait()
                 asks.keep_peers(set())
                 kept = set(asks.peers)
-                with mock.patch.object(paths, "KEEP_USED_S", 0.0):
+                with mock.patch.object(peer_network, "KEEP_USED_S", 0.0):
                     asks.keep_peers(set())
                 return kept == {other.ip}, set(asks.peers)
             finally:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -30,8 +30,8 @@
     Subscriber,
 )
 from vetchusher.errors import ErrorCode
-from vetchusher.node import reading
-from vetchusher.node.reading import parse_configuration
+from vetchusher.node import configuration_parser
+from vetchusher.node.configuration_parser import parse_configuration
 
 S = 1_000_000
 
@@ -361,10 +361,10 @@
         services = [{"name": f"s{number}"} for number in range(300)]
         body = orjson.dumps({"version": "r1", "routes": [], "services": services})
         read = parse_configuration(body).unwrap()
-        self.assertEqual(MAX_ZONES, reading.MAX_EVACUATION_ROWS)
-        with mock.patch.object(reading, "MAX_ROWS", len(read.rows) + MAX_ZONES):
+        self.assertEqual(MAX_ZONES, configuration_parser.MAX_EVACUATION_ROWS)
+        with mock.patch.object(configuration_parser, "MAX_ROWS", len(read.rows) + MAX_ZONES):
             parse_configuration(body).unwrap()
-        with mock.patch.object(reading, "MAX_ROWS", len(read.rows) + MAX_ZONES - 1):
+        with mock.patch.object(configuration_parser, "MAX_ROWS", len(read.rows) + MAX_ZONES - 1):
             self.assertEqual(ErrorCode.INVALID_ORDER, parse_configuration(body).failure().code)
 
     def test_deltas_fill_a_source_no_further_than_a_whole_may(self):
--- a/tests/test_local_system.py
+++ b/tests/test_local_system.py
@@ -20,7 +20,7 @@
 from vetchusher.emulator.outside.platform import PlatformStandIn
 from vetchusher.emulator.system.local import FRONT, LocalSystem, first_configuration
 from vetchusher.events import Event
-from vetchusher.node.platform import ServerListClient
+from vetchusher.node.server_list_client import ServerListClient
 from vetchusher.settings.node import Bounds, CloudApi
 
 
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -51,8 +51,8 @@
 from vetchusher.control.state import apply_order, copy_state, first_state, state_stamp
 from vetchusher.emulator.fleet_world import SECOND
 from vetchusher.events import LogEvent
-from vetchusher.node.persistence import Persister
-from vetchusher.node.repair import RepairDriver as HiveMending
+from vetchusher.node.persister import Persister
+from vetchusher.node.repair_driver import RepairDriver as HiveMending
 
 MACHINES = "123"  # 1 is the primary
 BODY = b",".join(b'{"host":"h%d.example","path":"/%d/","service":"a"}' % (n, n * n) for n in range(400))
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -27,7 +27,7 @@
 from vetchusher.errors import ErrorCode
 from vetchusher.events import Event, LogEvent
 from vetchusher.fields import FieldError
-from vetchusher.node import cli, log, reading
+from vetchusher.node import cli, configuration_parser, log
 from vetchusher.settings import compiled, compiling, node, schemas
 from vetchusher.settings.configuration import read_configuration
 from vetchusher.settings.document import misfit
@@ -371,9 +371,11 @@
         raw = json.dumps(TREE).encode()
 
         async def many():
-            one = reading.ConfigurationParser(asyncio.get_running_loop())
+            one = configuration_parser.ConfigurationParser(asyncio.get_running_loop())
             self.addCleanup(one.close)
-            found = await asyncio.gather(*(one.parse(raw) for _ in range(reading.MAX_PENDING + 1)))
+            found = await asyncio.gather(
+                *(one.parse(raw) for _ in range(configuration_parser.MAX_PENDING + 1))
+            )
             bad = await one.parse(b"{}")
             return (
                 found,
--- a/vetchusher/emulator/control/process_replacement.py
+++ b/vetchusher/emulator/control/process_replacement.py
@@ -13,7 +13,7 @@
 from vetchusher.control.state import replica_set_id, voters
 from vetchusher.distribution.wire_pb2 import ReplicaSet
 from vetchusher.emulator.system.local import Machine
-from vetchusher.node.folders import kept_in
+from vetchusher.node.data_folders import read_contents
 
 from .process_rig import DOWN_S, REGAIN_S, CoreRig, Fault, Leave, Mend, Seat, internal_port
 
@@ -86,7 +86,7 @@
 async def record_of(machine: Machine) -> ReplicaSet | None:
     """The replica set on the disk of a machine that may be writing; None: none, or it could not be read just
     then."""
-    kept = (await asyncio.to_thread(kept_in, str(machine.disk))).value_or(None)
+    kept = (await asyncio.to_thread(read_contents, str(machine.disk))).value_or(None)
     return kept.replica_set if kept is not None else None
 
 
--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -33,7 +33,7 @@
 )
 from vetchusher.emulator.wal import Commits
 from vetchusher.errors import HTTP_STATUS, ErrorCode
-from vetchusher.node.folders import kept_in
+from vetchusher.node.data_folders import read_contents
 
 from .call_history import History, Ordered, Read, Seen, Wrote
 
@@ -499,7 +499,7 @@
         await self.kill(self.apiary.core)
         now, newest = time.monotonic(), None
         for machine in self.apiary.core:
-            kept = kept_in(str(machine.disk)).unwrap()
+            kept = read_contents(str(machine.disk)).unwrap()
             if kept is not None and (newest is None or stamp(kept) > stamp(newest)):
                 newest = kept
         if newest is None:
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -28,7 +28,7 @@
 REAL_COORDINATOR_FOR = leader_roles.LeaderRoles.coordinator_for
 REAL_OVER = proxy.Flow.over
 REAL_EVACUATED = control_state.apply_evacuation
-REAL_CONFIGURED = edge_node.EdgeNode.configuration_came
+REAL_CONFIGURED = edge_node.EdgeNode.on_configuration
 REAL_IN_FORCE = Subscriber._on_in_force_reply
 LONG = 1 << 61
 
@@ -41,7 +41,7 @@
 
 
 def takes_any_version(self: edge_node.EdgeNode, now: int) -> None:
-    self.version, self.digest = 0, b""
+    self.version, self.configuration_digest = 0, b""
     REAL_CONFIGURED(self, now)
 
 
@@ -117,7 +117,7 @@
     "an ingress takes older news": (
         (Source, "apply", takes_any_news),
         (Subscriber, "_pull_if_behind", pulls_whatever_differs),
-        (edge_node.EdgeNode, "configuration_came", takes_any_version),
+        (edge_node.EdgeNode, "on_configuration", takes_any_version),
     ),
     "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Error(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -13,7 +13,7 @@
 from vetchusher.emulator.fleet_world import MS
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.node.attempts import Got, Matter, Report
-from vetchusher.node.platform import ServerListClient
+from vetchusher.node.server_list_client import ServerListClient
 from vetchusher.routing.claims import Seen
 from vetchusher.routing.request import Send
 
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -30,7 +30,7 @@
 from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
-from vetchusher.node.paths import PeerNetwork
+from vetchusher.node.peer_network import PeerNetwork
 from vetchusher.node.proxy import Flow
 from vetchusher.routing.request import Head, judge
 from vetchusher.settings.node import Bounds, Listen, NodeSettings
@@ -289,8 +289,8 @@
             part.leader_roles.server_list_poller.client = Listing(self.servers)
         else:
             part = EdgeNode(loop, node, paths, rng, now, self.note)
-            part.front.tries.session.detach()
-            part.front.tries = cast(Any, AttemptsStandIn(loop, self.servers))
+            part.proxy.tries.session.detach()
+            part.proxy.tries = cast(Any, AttemptsStandIn(loop, self.servers))
         machine.part = part
         loop.create_task(paths.open())
         loop.create_task(part.run())
@@ -425,7 +425,7 @@
             ("X-Vetchusher-Time-Remaining", "2000"),
             ("Authorization", f"Bearer key-{asked.tenant}"),
         ]
-        front = part.front
+        front = part.proxy
         judged = judge(front.ground, Head("POST", asked.target, headers, front.now()))
         if isinstance(judged, Failure):
             self.answered(asked, judged.failure().status, then)
--- a/vetchusher/node/api_listener.py
+++ b/vetchusher/node/api_listener.py
@@ -32,7 +32,7 @@
     response_of,
     stale_response,
 )
-from .callers import has_hung_up, unread_for_s
+from .caller_connection import has_hung_up, unread_for_s
 
 log = logging.getLogger("vetchusher")
 
--- a/vetchusher/node/cli.py
+++ b/vetchusher/node/cli.py
@@ -18,10 +18,10 @@
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.settings.node import NodeSettings, read_node
 
-from .start import CONFIG, UNUSABLE, start
+from .start import EXIT_UNUSABLE, SETTINGS_VARIABLE, start
 
 
-class Todo:
+class DeferredCommand:
     """What a call asks for, not yet done.
 
     Danger: fire calls a command before it has looked at the rest of the line; a misspelt flag would be
@@ -37,15 +37,15 @@
 class Commands:
     """One process of the system on this machine."""
 
-    def run(self, config: str = "") -> Todo:
+    def run(self, config: str = "") -> DeferredCommand:
         """Run it in the foreground until SIGTERM; SIGHUP reads the settings again.
 
         Args:
             config: the settings file; without it the one that $VETCHUSHER_CONFIG names
         """
-        return Todo(lambda: start(str(config) or os.environ.get(CONFIG, "")))
+        return DeferredCommand(lambda: start(str(config) or os.environ.get(SETTINGS_VARIABLE, "")))
 
-    def check(self, settings: str = "", configuration: str = "", data: str = "") -> Todo:
+    def check(self, settings: str = "", configuration: str = "", data: str = "") -> DeferredCommand:
         """Say in a line what each file or folder holds, or what is wrong with it (code 2).
 
         Args:
@@ -53,37 +53,37 @@
             configuration: an operator's configuration, as it is sent
             data: a data folder; it is not changed
         """
-        return Todo(lambda: check(str(settings), str(configuration), str(data)))
+        return DeferredCommand(lambda: check(str(settings), str(configuration), str(data)))
 
-    def inspect(self, folder: str) -> Todo:
+    def inspect(self, folder: str) -> DeferredCommand:
         """Show what a data folder holds, as JSON; it is not changed.
 
         Args:
             folder: the data_directory of a process that does not run now
         """
-        return Todo(lambda: report([folders().inspected(str(folder))]))
+        return DeferredCommand(lambda: print_results([folders().inspect_folder(str(folder))]))
 
-    def export(self, folder: str, file: str) -> Todo:
+    def export(self, folder: str, file: str) -> DeferredCommand:
         """Write what a data folder holds into one new file, from which `import` makes a folder.
 
         Args:
             folder: the data_directory of a process that does not run now; it is not changed
             file: a file that does not exist yet
         """
-        return Todo(lambda: report([folders().exported(str(folder), str(file))]))
+        return DeferredCommand(lambda: print_results([folders().export_folder(str(folder), str(file))]))
 
-    def _import(self, file: str, folder: str) -> Todo:
+    def _import(self, file: str, folder: str) -> DeferredCommand:
         """Make a data folder of an exported file, for a machine that has forgotten what it promised.
 
         Args:
             file: what `export` wrote; one in which any byte is wrong is turned down
             folder: an empty or absent one
         """
-        return Todo(lambda: report([folders().imported(str(file), str(folder))]))
+        return DeferredCommand(lambda: print_results([folders().import_file(str(file), str(folder))]))
 
-    def version(self) -> Todo:
+    def version(self) -> DeferredCommand:
         """Print the version."""
-        return Todo(lambda: report([Success(f"vetchusher {__version__}")]))
+        return DeferredCommand(lambda: print_results([Success(f"vetchusher {__version__}")]))
 
 
 setattr(Commands, "import", Commands._import)  # no name that a method could be given
@@ -94,60 +94,60 @@
         Commands,
         command=list(argv),
         name="vetchusher.node",
-        serialize=lambda r: None if type(r) is Todo else r,
+        serialize=lambda r: None if type(r) is DeferredCommand else r,
     )
-    return found._do() if isinstance(found, Todo) else 0
+    return found._do() if isinstance(found, DeferredCommand) else 0
 
 
 def folders() -> Any:
     """What looks into stores; not loaded for anything else."""
-    from . import folders
+    from . import data_folders
 
-    return folders
+    return data_folders
 
 
 def check(settings: str, configuration: str, data: str) -> int:
     asked = (
-        (settings, checked_settings),
-        (configuration, checked_configuration),
+        (settings, check_settings),
+        (configuration, check_configuration),
         (data, lambda folder: folders().checked(folder)),
     )
     lines = [look(path) for path, look in asked if path]
-    return report(lines or [bad("nothing to check: give --settings, --configuration or --data")])
+    return print_results(lines or [failure("nothing to check: give --settings, --configuration or --data")])
 
 
-def report(lines: Sequence[Result[str, Error]]) -> int:
+def print_results(lines: Sequence[Result[str, Error]]) -> int:
     """Good lines to standard output, others to standard error; the code of both."""
     for line in lines:
         if isinstance(line, Failure):
             print(f"vetchusher: {line.failure().text}", file=sys.stderr)
         else:
             print(line.unwrap())
-    return UNUSABLE if any(isinstance(line, Failure) for line in lines) else 0
+    return EXIT_UNUSABLE if any(isinstance(line, Failure) for line in lines) else 0
 
 
-def bad(text: str, kind: ErrorCode = ErrorCode.INVALID_SETTINGS) -> Result[str, Error]:
+def failure(text: str, kind: ErrorCode = ErrorCode.INVALID_SETTINGS) -> Result[str, Error]:
     return Failure(Error(kind, text))
 
 
-def checked_settings(path: str) -> Result[str, Error]:
-    return read_node(path).map(lambda node: f"{path}: {told(node)}")
+def check_settings(path: str) -> Result[str, Error]:
+    return read_node(path).map(lambda node: f"{path}: {describe_settings(node)}")
 
 
-def told(node: NodeSettings) -> str:
+def describe_settings(node: NodeSettings) -> str:
     doors = {name: getattr(node.listen, name) for name in ("front", "ready", "control", "directory")}
     at = " ".join(f"{name}={a[0]}:{a[1]}" for name, a in doors.items() if a is not None)
     store = node.data_directory or "nothing"
     return f"{node.node_name} in {node.zone} ({node.region}) serves {at or 'nobody'}; keeps {store}"
 
 
-def checked_configuration(path: str) -> Result[str, Error]:
+def check_configuration(path: str) -> Result[str, Error]:
     from vetchusher.settings.configuration import read_configuration
 
     try:
         raw = pathlib.Path(path).read_bytes()
     except OSError as err:
-        return bad(f"{path}: {err.strerror}")
+        return failure(f"{path}: {err.strerror}")
     return (
         read_configuration(raw)
         .map(
--- a/vetchusher/node/commit_publisher.py
+++ b/vetchusher/node/commit_publisher.py
@@ -11,7 +11,7 @@
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
 
-from .reading import ConfigurationParser, ParsedConfiguration
+from .configuration_parser import ConfigurationParser, ParsedConfiguration
 
 RETRY_S = 0.1  # until the thread is asked again, when too much waits for it
 
@@ -48,7 +48,7 @@
         raw = state.configuration
         if not state.version:
             self.publish(state, None)
-        elif self.last_parsed is not None and self.last_parsed.raw == raw:
+        elif self.last_parsed is not None and self.last_parsed.body == raw:
             self.publish(state, self.last_parsed)
         else:
             found = self.parser.parse_at_once(raw)
--- a/vetchusher/node/configuration_parser.py
+++ b/vetchusher/node/configuration_parser.py
@@ -38,7 +38,7 @@
 class ParsedConfiguration:
     """:param rows: the configuration's, as they are told"""
 
-    raw: bytes
+    body: bytes
     configuration: Configuration
     rows: Mapping[str, bytes]
 
@@ -115,7 +115,7 @@
 
     def parse_at_once(self, raw: bytes) -> Result[ParsedConfiguration, Error] | None:
         """The same at once, on the loop, of what has been read already or is soon read; else None."""
-        if self.last is not None and self.last.raw == raw:
+        if self.last is not None and self.last.body == raw:
             return Success(self.last)
         return parse_configuration(raw) if len(raw) <= MAX_BYTES_ON_LOOP else None
 
--- a/vetchusher/node/context.py
+++ b/vetchusher/node/context.py
@@ -10,7 +10,7 @@
 from vetchusher.events import LogEvent
 from vetchusher.settings.node import NodeSettings
 
-from .paths import PeerNetwork
+from .peer_network import PeerNetwork
 
 
 @dataclass(slots=True)
--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -19,18 +19,18 @@
 from vetchusher.settings.node import NodeSettings
 
 from .api_calls import AddressesResolved, ApiCall, GuardedOutcome, ResolveAddresses
-from .applying import CommitPublisher
+from .commit_publisher import CommitPublisher
+from .configuration_parser import ConfigurationParser, ParsedConfiguration
 from .context import NodeContext
-from .following import SubscriberDriver
 from .leader_roles import LeaderRoles
 from .order_service import OrderService, Outcome
-from .paths import Channel
 from .peer_messages import PeerMessageHandler
-from .persistence import Persister
-from .reading import ConfigurationParser, ParsedConfiguration
-from .repair import RepairDriver
+from .peer_network import Channel
+from .persister import Persister
+from .repair_driver import RepairDriver
 from .server_list_poller import ServerListPoller
 from .snapshot_writer import SnapshotWriter
+from .subscriber_driver import SubscriberDriver
 from .update_publisher import UpdatePublisher
 
 TICK_S = 0.05
@@ -240,7 +240,7 @@
 
     def perform_subscriber_outputs(self, outputs: Sequence[SubscriberOutput]) -> None:
         """Send the heartbeats and pulls that are due."""
-        self.subscriber_driver.carry(outputs)
+        self.subscriber_driver.perform(outputs)
 
     # -- settings and shutdown -----------------------------------------------------------------------
 
--- a/vetchusher/node/data_folders.py
+++ b/vetchusher/node/data_folders.py
@@ -27,19 +27,19 @@
 Look: TypeAlias = Callable[[Store | None, PersistentState | None, dict[str, int]], Found]
 
 
-def checked(folder: str) -> Result[str, Error]:
-    return looked_at(folder, told).map(
+def check_folder(folder: str) -> Result[str, Error]:
+    return read_folder(folder, summary).map(
         lambda found: f"{folder}: {json.dumps(found) if found else 'nothing yet'}"
     )
 
 
-def inspected(folder: str) -> Result[str, Error]:
-    return looked_at(folder, told).map(lambda found: json.dumps(found, indent=2))
+def inspect_folder(folder: str) -> Result[str, Error]:
+    return read_folder(folder, summary).map(lambda found: json.dumps(found, indent=2))
 
 
-def exported(folder: str, file: str) -> Result[str, Error]:
+def export_folder(folder: str, file: str) -> Result[str, Error]:
     path = pathlib.Path(file)
-    kept = kept_in(folder)
+    kept = read_contents(folder)
     if isinstance(kept, Failure):
         return kept
     found = kept.unwrap()
@@ -53,40 +53,40 @@
             )
         )
     state = found.state
-    return named(file, archive.write_export(path, found)).map(
+    return with_path(file, archive.write_export(path, found)).map(
         lambda _: (
             f"{file}: r{state.version} at {state.stamp.epoch}.{state.stamp.seq}, {path.stat().st_size} bytes"
         )
     )
 
 
-def imported(file: str, folder: str) -> Result[str, Error]:
-    kept = named(file, archive.read_export(pathlib.Path(file)).bind(readable))
+def import_file(file: str, folder: str) -> Result[str, Error]:
+    kept = with_path(file, archive.read_export(pathlib.Path(file)).bind(check_configuration))
     if isinstance(kept, Failure):
         return kept
     floor = imported_state_of(kept.unwrap(), int(time.time()))
-    return named(folder, archive.import_into(pathlib.Path(folder), floor)).map(
+    return with_path(folder, archive.import_into(pathlib.Path(folder), floor)).map(
         lambda _: f"{folder}: r{floor.state.version} as a floor, epochs from {floor.voted_epoch}"
     )
 
 
-def readable(kept: PersistentState) -> Result[PersistentState, Error]:
+def check_configuration(kept: PersistentState) -> Result[PersistentState, Error]:
     """Danger: a core that begins from a configuration that it cannot read serves nobody."""
     if not kept.state.version:
         return Success(kept)
     return read_configuration(kept.state.configuration).map(lambda _: kept)
 
 
-def named(path: str, outcome: Result[Found, Error]) -> Result[Found, Error]:
+def with_path(path: str, outcome: Result[Found, Error]) -> Result[Found, Error]:
     return outcome.alt(lambda fault: Error(fault.code, f"{path}: {fault.text}"))
 
 
-def kept_in(folder: str) -> Result[PersistentState | None, Error]:
+def read_contents(folder: str) -> Result[PersistentState | None, Error]:
     """What a folder holds, also as a floor; None: nothing."""
-    return looked_at(folder, lambda store, kept, files: kept or (store.imported_state if store else None))
+    return read_folder(folder, lambda store, kept, files: kept or (store.imported_state if store else None))
 
 
-def looked_at(folder: str, look: Look[Found]) -> Result[Found, Error]:
+def read_folder(folder: str, look: Look[Found]) -> Result[Found, Error]:
     """:param look: takes the opened store and what it holds (None: nothing), and what lies in the folder"""
     try:
         if not any(pathlib.Path(folder).iterdir()):
@@ -97,19 +97,21 @@
             copy = shutil.copytree(folder, pathlib.Path(place) / "copy")
             files = {each.name: each.stat().st_size for each in copy.iterdir()}
             files["format"] = format_in_header(copy / FILE_NAME)
-            return named(folder, Store.open(str(copy)).bind(lambda store: loaded(store, look, files)))
+            return with_path(folder, Store.open(str(copy)).bind(lambda store: load_copy(store, look, files)))
     except (OSError, shutil.Error) as err:
         return Failure(Error(ErrorCode.STORAGE_ERROR, f"{folder}: {getattr(err, 'strerror', None) or err}"))
 
 
-def loaded(store: Store, look: Look[Found], files: dict[str, int]) -> Result[Found, Error]:
+def load_copy(store: Store, look: Look[Found], files: dict[str, int]) -> Result[Found, Error]:
     try:
         return store.load().map(lambda kept: look(store, kept, files))
     finally:
         store.close()
 
 
-def told(store: Store | None, kept: PersistentState | None, files: dict[str, int]) -> dict[str, Any] | None:
+def summary(
+    store: Store | None, kept: PersistentState | None, files: dict[str, int]
+) -> dict[str, Any] | None:
     """What people want to know of a folder."""
     held = kept or (store.imported_state if store is not None else None)
     if store is None or held is None:
@@ -130,12 +132,12 @@
         "copies": list(held.replica_set.copies),
         "members": list(held.replica_set.members),
         "chunks": len(store.chunk_digests),
-        "ranges": ranges(store),
+        "ranges": range_digests(store),
         "files": files,
     }
 
 
-def ranges(store: Store) -> dict[str, str]:
+def range_digests(store: Store) -> dict[str, str]:
     """Digests of the whole copy and of its sixteen ranges."""
     if store.copy is None:
         return {}
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -26,29 +26,35 @@
 from vetchusher.settings.node import NodeSettings
 
 from .api_calls import AddressesResolved, GuardedOutcome, ResolveAddresses
-from .following import SubscriberDriver
-from .paths import Channel, PeerNetwork
+from .configuration_parser import MAX_BYTES_ON_LOOP, ConfigurationParser
+from .peer_network import Channel, PeerNetwork
 from .proxy import Proxy, Readiness
-from .reading import MAX_BYTES_ON_LOOP, ConfigurationParser
+from .subscriber_driver import SubscriberDriver
 
 TICK_S = 0.05
-SYNC_S = 0.15  # between two pushes of what has passed
-PUSH_S = 0.6  # for the totals that answer one
-LAST_S = 1.0  # of the grace: for the requests taken by then
-MOST_PUSHES = 4  # under way at a time
+PUSH_INTERVAL_S = 0.15  # between two pushes of what has passed
+PUSH_TIMEOUT_S = 0.6  # for the totals that answer one
+FINISH_REQUESTS_S = 1.0  # of the grace: for the requests taken by then
+MAX_PUSHES = 4  # under way at a time
 
 
 class EdgeNode:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        node: NodeSettings,
-        paths: PeerNetwork,
+        settings: NodeSettings,
+        network: PeerNetwork,
         rng: random.Random,
         now: Callable[[], int],
-        note: Callable[[LogEvent], None],
+        log_event: Callable[[LogEvent], None],
     ) -> None:
-        self.loop, self.node, self.paths, self.now, self.log_event = loop, node, paths, now, note
+        self.loop, self.settings, self.network, self.now, self.log_event = (
+            loop,
+            settings,
+            network,
+            now,
+            log_event,
+        )
         self.incarnation = rng.getrandbits(62) | 1
         self.control, self.discovery, self.directory = (
             Source("control"),
@@ -56,36 +62,38 @@
             Source("directory"),
         )
         self.sources = {led.name: led for led in (self.control, self.discovery, self.directory)}
-        self.subscriber = Subscriber([host for host, _ in node.seed_nodes], self.sources)
-        self.subscriber_driver = SubscriberDriver(paths, self.subscriber, self)
-        bounds = node.bounds
+        self.subscriber = Subscriber([host for host, _ in settings.seed_nodes], self.sources)
+        self.subscriber_driver = SubscriberDriver(network, self.subscriber, self)
+        bounds = settings.bounds
         quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
-        self.tally = LocalQuota(node.node_name, self.incarnation, bounds=quota)
-        self.extra = ExtraTries(bounds.retry_budget_ratio, int(bounds.budget_slack), bounds.budget_window_s)
-        self.front = Proxy(loop, node, rng, self.tally, self.extra, note)
-        self.readiness = Readiness(loop, self.ready)
-        self.known: dict[str, tuple[bytes, Server]] = {}  # rows as told, and what they say
-        self.entrances: list[Entrance] = []  # who serves, as told
+        self.quota = LocalQuota(settings.node_name, self.incarnation, bounds=quota)
+        self.retry_budget = ExtraTries(
+            bounds.retry_budget_ratio, int(bounds.budget_slack), bounds.budget_window_s
+        )
+        self.proxy = Proxy(loop, settings, rng, self.quota, self.retry_budget, log_event)
+        self.readiness = Readiness(loop, self.is_ready)
+        self.servers: dict[str, tuple[bytes, Server]] = {}  # rows as told, and what they say
+        self.serving_ingresses: list[Entrance] = []  # who serves, as told
         self.version = 0
-        self.digest: bytes | None = b""  # row of the configuration in force
+        self.configuration_digest: bytes | None = b""  # row of the configuration in force
         self.parser = ConfigurationParser(loop)
-        self.rows: dict[str, bytes] | None = None  # of the newest news, while they wait to be read
-        self.reader: asyncio.Task[None] | None = None
-        self.leaving = False
-        self.left_at = 0.0
-        self.pushes: set[asyncio.Task[None]] = set()
-        self.pushed_at = 0.0
+        self.unparsed_rows: dict[str, bytes] | None = None  # of the newest news, while they wait to be read
+        self.parse_task: asyncio.Task[None] | None = None
+        self.is_draining = False
+        self.draining_since_s = 0.0
+        self.push_tasks: set[asyncio.Task[None]] = set()
+        self.last_push_at_s = 0.0
 
     # -- keeping up -------------------------------------------------------------------------
 
     def on_frame(self, frame: wire.Frame, channel: Channel) -> None:
         kind = frame.WhichOneof("body")
         if kind == "heartbeat_reply":
-            self.carry_sends(
+            self.perform_subscriber_outputs(
                 self.subscriber.on_heartbeat_reply(self.now(), frame.sender, 0, frame.heartbeat_reply)
             )
         elif kind == "totals":  # unasked
-            self.tally.alarm(self.now(), frame.totals)
+            self.quota.alarm(self.now(), frame.totals)
         elif kind == "heartbeat":  # a neighbour's, which may be cut off from the core
             channel.reply(
                 frame, wire.Frame(heartbeat_reply=wire.HeartbeatReply(vector=version_vector(self.sources)))
@@ -93,12 +101,12 @@
         elif kind == "pull":
             channel.reply(frame, wire.Frame(news=updates_for(self.sources, frame.pull.vector)))
 
-    def carry_sends(self, sends: Sequence[SubscriberOutput]) -> None:
-        self.subscriber_driver.carry(sends)
+    def perform_subscriber_outputs(self, outputs: Sequence[SubscriberOutput]) -> None:
+        self.subscriber_driver.perform(outputs)
 
     def heartbeat(self) -> wire.Heartbeat:
-        node, front = self.node, self.node.listen.front
-        standing = wire.LEAVING if self.leaving else wire.READY if self.ready() else wire.STARTING
+        node, front = self.settings, self.settings.listen.front
+        standing = wire.LEAVING if self.is_draining else wire.READY if self.is_ready() else wire.STARTING
         return wire.Heartbeat(
             node=node.node_name,
             ip=node.ip_address,
@@ -110,73 +118,73 @@
             vector=version_vector(self.sources),
         )
 
-    def ready(self) -> bool:
-        return self.version > 0 and bool(self.known) and not self.leaving
+    def is_ready(self) -> bool:
+        return self.version > 0 and bool(self.servers) and not self.is_draining
 
     def on_updates_applied(self, changed: set[str]) -> None:
-        now, was_ready = self.now(), self.ready()
+        now, was_ready = self.now(), self.is_ready()
         if "control" in changed:
-            self.configuration_came(now)
+            self.on_configuration(now)
         if "directory" in changed:
             ingresses = len(self.directory.rows)
-            self.tally.fleet(now, ingresses, self.node.node_name in self.directory.rows)
-            self.extra.fleet(ingresses)
+            self.quota.fleet(now, ingresses, self.settings.node_name in self.directory.rows)
+            self.retry_budget.fleet(ingresses)
             rows = self.directory.values()
-            places, self.entrances = places_of(rows), entrances_of(rows)
-            near = {name: at.zone for name, at in places.items() if at.region == self.node.region}
-            self.front.ingresses(near)
-            self.subscriber.set_neighbours(neighbours(self.node.node_name, self.node.region, places))
+            places, self.serving_ingresses = places_of(rows), entrances_of(rows)
+            near = {name: at.zone for name, at in places.items() if at.region == self.settings.region}
+            self.proxy.ingresses(near)
+            self.subscriber.set_neighbours(neighbours(self.settings.node_name, self.settings.region, places))
         if "discovery" in changed:
-            self.servers_came(now)
-        self.look_fresh(now)
-        if self.ready() and not was_ready:
-            self.carry_sends(self.subscriber.heartbeat_all(now))
+            self.on_servers(now)
+        self.update_freshness(now)
+        if self.is_ready() and not was_ready:
+            self.perform_subscriber_outputs(self.subscriber.heartbeat_all(now))
 
-    def configuration_came(self, now: int) -> None:
+    def on_configuration(self, now: int) -> None:
         rows = self.control.values()
-        self.front.evacuated(evacuated_of(rows), now)
-        if self.reader is None and rows.get(DIGEST) == self.digest:
+        self.proxy.evacuated(evacuated_of(rows), now)
+        if self.parse_task is None and rows.get(DIGEST) == self.configuration_digest:
             return  # an evacuation; the configuration is the one in force
-        if self.reader is None and sum(map(len, rows.values())) <= MAX_BYTES_ON_LOOP:
-            self.take(rows, configuration_of(rows))
+        if self.parse_task is None and sum(map(len, rows.values())) <= MAX_BYTES_ON_LOOP:
+            self.apply_configuration(rows, configuration_of(rows))
             return
-        self.rows = rows
-        if self.reader is None:
-            self.reader = self.loop.create_task(self.read_rows())
+        self.unparsed_rows = rows
+        if self.parse_task is None:
+            self.parse_task = self.loop.create_task(self.parse_rows())
 
-    async def read_rows(self) -> None:
+    async def parse_rows(self) -> None:
         """Off the loop, of several the newest; requests are judged by the one before until then."""
         try:
-            while self.rows is not None:
-                rows, self.rows = self.rows, None
-                found, was_ready = await self.parser.parse_rows(rows), self.ready()
-                self.take(rows, found)
-                if self.ready() and not was_ready:
-                    self.carry_sends(self.subscriber.heartbeat_all(self.now()))
+            while self.unparsed_rows is not None:
+                rows, self.unparsed_rows = self.unparsed_rows, None
+                found, was_ready = await self.parser.parse_rows(rows), self.is_ready()
+                self.apply_configuration(rows, found)
+                if self.is_ready() and not was_ready:
+                    self.perform_subscriber_outputs(self.subscriber.heartbeat_all(self.now()))
         finally:
-            self.reader = None
-            self.look_fresh(self.now())
+            self.parse_task = None
+            self.update_freshness(self.now())
 
-    def look_fresh(self, now: int) -> None:
+    def update_freshness(self, now: int) -> None:
         """Danger: rows that are here and not read yet make nothing fresh."""
-        self.front.fresh_until(self.subscriber.fresh_until(now) if self.reader is None else now - 1)
+        self.proxy.fresh_until(self.subscriber.fresh_until(now) if self.parse_task is None else now - 1)
 
-    def take(self, rows: Mapping[str, bytes], found: Result[Configuration, Error]) -> None:
+    def apply_configuration(self, rows: Mapping[str, bytes], found: Result[Configuration, Error]) -> None:
         now = self.now()
         match found:
             case Success(configuration) if configuration.version > self.version:
-                self.version, self.digest = configuration.version, rows.get(DIGEST)
-                self.front.configuration(configuration)
-                self.tally.configure(now, configuration.tenants)
+                self.version, self.configuration_digest = configuration.version, rows.get(DIGEST)
+                self.proxy.configuration(configuration)
+                self.quota.configure(now, configuration.tenants)
             case Success():
                 pass
             case fault if "version" in rows:
                 self.log_event(LogEvent(Event.UPDATE_REJECTED, {"why": fault.failure().text}))
 
-    def servers_came(self, now: int) -> None:
+    def on_servers(self, now: int) -> None:
         known: dict[str, tuple[bytes, Server]] = {}
         for instance, value in self.discovery.values().items():
-            kept = self.known.get(instance)
+            kept = self.servers.get(instance)
             if kept is not None and kept[0] == value:
                 known[instance] = kept  # its spans go on from when they were first told
                 continue
@@ -185,8 +193,8 @@
                     known[instance] = (value, server)
                 case fault:
                     self.log_event(LogEvent(Event.UPDATE_REJECTED, {"why": fault.failure().text}))
-        self.known = known
-        self.front.servers([server for _, server in known.values()])
+        self.servers = known
+        self.proxy.servers([server for _, server in known.values()])
 
     # -- time ---------------------------------------------------------------------------------
 
@@ -198,25 +206,25 @@
 
     def tick(self) -> None:
         now = self.now()
-        self.carry_sends(self.subscriber.tick(now))
-        self.look_fresh(now)
-        self.front.choice.kept_until = self.subscriber.primary_contact_at(now) + KEPT_LEASE_US
-        due = self.tally.eager or self.loop.time() - self.pushed_at >= SYNC_S
-        if due and len(self.pushes) < MOST_PUSHES:
-            self.pushed_at = self.loop.time()
-            primary, push = self.subscriber.primary(now), self.tally.push(now)
+        self.perform_subscriber_outputs(self.subscriber.tick(now))
+        self.update_freshness(now)
+        self.proxy.choice.kept_until = self.subscriber.primary_contact_at(now) + KEPT_LEASE_US
+        due = self.quota.eager or self.loop.time() - self.last_push_at_s >= PUSH_INTERVAL_S
+        if due and len(self.push_tasks) < MAX_PUSHES:
+            self.last_push_at_s = self.loop.time()
+            primary, push = self.subscriber.primary(now), self.quota.push(now)
             if primary and push is not None:
-                task = self.loop.create_task(self.push(primary, push))
-                self.pushes.add(task)
-                task.add_done_callback(self.pushes.discard)
-        standing = self.tally.log_fields(now)
+                task = self.loop.create_task(self.push_counts(primary, push))
+                self.push_tasks.add(task)
+                task.add_done_callback(self.push_tasks.discard)
+        standing = self.quota.log_fields(now)
         if standing is not None:
             self.log_event(
                 LogEvent(
-                    Event.QUOTA_TOTALS_COMPLETE if self.tally.stood else Event.QUOTA_TOTALS_STALE, standing
+                    Event.QUOTA_TOTALS_COMPLETE if self.quota.stood else Event.QUOTA_TOTALS_STALE, standing
                 )
             )
-        self.paths.keep_peers({*self.subscriber.contacts, *self.subscriber.neighbours})
+        self.network.keep_peers({*self.subscriber.contacts, *self.subscriber.neighbours})
 
     async def execute(self, call: object) -> Result[AddressesResolved, Error] | GuardedOutcome:
         """A client's question where to go, by what the news say.
@@ -226,45 +234,51 @@
         """
         if not isinstance(call, ResolveAddresses):
             return Failure(Error(ErrorCode.NOT_FOUND, "no such call"))
-        others = [one for one in self.entrances if not self.leaving or one.node != self.node.node_name]
+        others = [
+            one
+            for one in self.serving_ingresses
+            if not self.is_draining or one.node != self.settings.node_name
+        ]
         fronts = named(others, call.region, call.zone)
         if not fronts or not self.subscriber.is_in_touch(self.now()):
             return Failure(Error(ErrorCode.UNAVAILABLE, "who serves is not known here"))
-        answer = AddressesResolved(tuple(fronts), min(TTL_S, self.node.bounds.ttl_max_s))
+        answer = AddressesResolved(tuple(fronts), min(TTL_S, self.settings.bounds.ttl_max_s))
         return GuardedOutcome(Success(answer), lambda: self.subscriber.is_in_touch(self.now()))
 
-    async def push(self, primary: str, push: wire.Push) -> None:
-        answer = await self.paths.request(primary, wire.Frame(push=push), PUSH_S)
+    async def push_counts(self, primary: str, push: wire.Push) -> None:
+        answer = await self.network.request(primary, wire.Frame(push=push), PUSH_TIMEOUT_S)
         if answer is not None and answer.WhichOneof("body") == "totals":
-            self.tally.on_totals(self.now(), answer.totals)
+            self.quota.on_totals(self.now(), answer.totals)
 
     def update_settings(self, node: NodeSettings) -> None:
-        self.node = node
+        self.settings = node
         self.subscriber.update_seeds([host for host, _ in node.seed_nodes])
 
     async def open(self) -> None:
-        listen = self.node.listen
+        listen = self.settings.listen
         if listen.front is not None:
-            self.front.open(*listen.front)
+            self.proxy.open(*listen.front)
         if listen.ready is not None:
             await self.readiness.open(*listen.ready)
 
     def begin_shut_down(self) -> None:
         """Off the directory first; then what is open is told to go elsewhere."""
-        self.leaving, self.left_at = True, self.loop.time()
-        self.carry_sends(self.subscriber.heartbeat_all(self.now()))
-        self.front.leave()
+        self.is_draining, self.draining_since_s = True, self.loop.time()
+        self.perform_subscriber_outputs(self.subscriber.heartbeat_all(self.now()))
+        self.proxy.leave()
 
     async def close(self, deadline_s: float) -> None:
         """Serve those who come by the directory's older answers; then end what is open.
 
         :param deadline_s: on the loop's clock
         """
-        kept_s = KEPT_TIMES * min(TTL_S, self.node.bounds.ttl_max_s)
-        await asyncio.sleep(min(self.left_at + kept_s, deadline_s - LAST_S) - self.loop.time())
-        await self.front.close(int(deadline_s * 1e6))
+        kept_s = KEPT_TIMES * min(TTL_S, self.settings.bounds.ttl_max_s)
+        await asyncio.sleep(
+            min(self.draining_since_s + kept_s, deadline_s - FINISH_REQUESTS_S) - self.loop.time()
+        )
+        await self.proxy.close(int(deadline_s * 1e6))
         await self.readiness.close()
         await self.subscriber_driver.close()
-        if self.reader is not None:
-            self.reader.cancel()
+        if self.parse_task is not None:
+            self.parse_task.cancel()
         self.parser.close()
--- a/vetchusher/node/order_service.py
+++ b/vetchusher/node/order_service.py
@@ -28,9 +28,9 @@
     RetrieveConfiguration,
     TerminateEvacuation,
 )
+from .configuration_parser import ConfigurationParser
 from .context import NodeContext
-from .paths import Channel
-from .reading import ConfigurationParser
+from .peer_network import Channel
 
 FORWARD_TIMEOUT_S = 2.5  # for the leader's answer to a forwarded order
 FORWARDED_ANSWER_TTL_US = 1_000_000  # since it was forwarded: its answer is given out no later
--- a/vetchusher/node/peer_messages.py
+++ b/vetchusher/node/peer_messages.py
@@ -10,12 +10,12 @@
 from vetchusher.distribution.subscriber import Subscriber
 
 from .context import NodeContext
-from .following import SubscriberDriver
+from .incarnations import IncarnationTracker
 from .leader_roles import LeaderRoles
-from .lives import IncarnationTracker
 from .order_service import OrderService
-from .paths import Channel
-from .repair import REPAIR_MESSAGES, RepairDriver
+from .peer_network import Channel
+from .repair_driver import REPAIR_MESSAGES, RepairDriver
+from .subscriber_driver import SubscriberDriver
 from .update_publisher import UpdatePublisher
 
 
@@ -90,7 +90,7 @@
         outputs = self.subscriber.on_heartbeat_reply(
             self.context.now(), frame.sender, 0, frame.heartbeat_reply
         )
-        self.subscriber_driver.carry(outputs)
+        self.subscriber_driver.perform(outputs)
 
     def on_quota_push(self, frame: wire.Frame, channel: Channel) -> None:
         """Count what an ingress admitted, and answer with totals, while this machine leads."""
--- a/vetchusher/node/peer_network.py
+++ b/vetchusher/node/peer_network.py
@@ -46,9 +46,9 @@
 class Channel(asyncio.Protocol):
     """One connection: bytes in, frames out of them, and back."""
 
-    def __init__(self, paths: PeerNetwork, peer: str = "") -> None:
-        self.paths = paths
-        self.peer = peer  # ip of whom this process connected to; empty on an accepted connection
+    def __init__(self, network: PeerNetwork, peer_ip: str = "") -> None:
+        self.network = network
+        self.peer_ip = peer_ip  # ip of whom this process connected to; empty on an accepted connection
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.last_received_at = 0.0
@@ -56,21 +56,21 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.last_received_at = self.paths.loop.time()
+        self.last_received_at = self.network.loop.time()
         set_socket_options(transport.get_extra_info("socket"))
-        self.paths.opened(self)
+        self.network.on_channel_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.paths.closed(self)
+        self.network.on_channel_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        self.last_received_at = self.paths.loop.time()
+        self.last_received_at = self.network.loop.time()
         self.buffer += data
         while len(self.buffer) >= 4:
             size = int.from_bytes(self.buffer[:4], "big")
             if size > MAX_FRAME_BYTES:
-                self.drop()
+                self.abort()
                 return
             if len(self.buffer) < 4 + size:
                 return
@@ -79,10 +79,12 @@
             try:
                 frame = wire.Frame.FromString(raw)
             except DecodeError:
-                self.paths.log_event(LogEvent(Event.UPDATE_REJECTED, {"fellow": self.peer or "accepted"}))
-                self.drop()
+                self.network.log_event(
+                    LogEvent(Event.UPDATE_REJECTED, {"fellow": self.peer_ip or "accepted"})
+                )
+                self.abort()
                 return
-            self.paths.received(frame, self)
+            self.network.on_received(frame, self)
 
     def write(self, frame: wire.Frame, more: bytes = b"") -> bool:
         """:param more: bytes of a frame that go into the same one"""
@@ -91,16 +93,16 @@
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             return False
         raw = frame.SerializeToString() + more
-        self.paths.bytes_out += len(raw) + 4
+        self.network.bytes_out += len(raw) + 4
         self.transport.write(len(raw).to_bytes(4, "big") + raw)
         return True
 
     def reply(self, asked: wire.Frame, answer: wire.Frame, more: bytes = b"") -> None:
         answer.call, answer.reply = asked.call, True
-        self.paths.sign(answer)
+        self.network.sign(answer)
         self.write(answer, more)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
@@ -110,11 +112,11 @@
 
     def __init__(self) -> None:
         self.channel: Channel | None = None
-        self.connecting: asyncio.Task[None] | None = None
-        self.again_at = 0.0
-        self.patience_s = CONNECT_TIMEOUT_S
-        self.used_at = 0.0  # something was last to be sent
-        self.messages: deque[tuple[float, wire.Frame]] = deque(maxlen=64)
+        self.connect_task: asyncio.Task[None] | None = None
+        self.next_connect_at = 0.0
+        self.connect_timeout_s = CONNECT_TIMEOUT_S
+        self.last_used_at = 0.0  # something was last to be sent
+        self.pending_messages: deque[tuple[float, wire.Frame]] = deque(maxlen=64)
 
 
 class PeerNetwork:
@@ -135,7 +137,7 @@
         self.accepted: set[Channel] = set()
         self.calls: dict[int, tuple[asyncio.Future[wire.Frame | None], Channel | None]] = {}
         self.next_call = 1
-        self.connections = 0  # that have begun
+        self.connection_count = 0  # that have begun
         self.bytes_out = 0
         self.server: asyncio.Server | None = None
 
@@ -148,8 +150,8 @@
         if self.server is not None:
             self.server.close()
         for peer in self.peers.values():
-            if peer.connecting is not None:
-                peer.connecting.cancel()
+            if peer.connect_task is not None:
+                peer.connect_task.cancel()
         for channel in [*self.accepted, *(f.channel for f in self.peers.values() if f.channel)]:
             if channel.transport is not None:
                 channel.transport.close()
@@ -159,19 +161,19 @@
 
     # -- connections ------------------------------------------------------------------
 
-    def opened(self, channel: Channel) -> None:
-        self.connections += 1
-        channel.number = self.connections
-        if channel.peer:
+    def on_channel_opened(self, channel: Channel) -> None:
+        self.connection_count += 1
+        channel.number = self.connection_count
+        if channel.peer_ip:
             return
         if len(self.accepted) >= MAX_ACCEPTED:
-            channel.drop()
+            channel.abort()
             return
         self.accepted.add(channel)
 
-    def closed(self, channel: Channel) -> None:
+    def on_channel_closed(self, channel: Channel) -> None:
         self.accepted.discard(channel)
-        peer = self.peers.get(channel.peer)
+        peer = self.peers.get(channel.peer_ip)
         if peer is not None and peer.channel is channel:
             peer.channel = None
         for number, (future, way) in list(self.calls.items()):
@@ -188,42 +190,42 @@
         Danger: a machine that has forgotten all names only its seeds, and has to ask everybody.
         """
         used = self.loop.time() - KEEP_USED_S
-        for ip in [ip for ip, peer in self.peers.items() if ip not in ips and peer.used_at <= used]:
+        for ip in [ip for ip, peer in self.peers.items() if ip not in ips and peer.last_used_at <= used]:
             peer = self.peers.pop(ip)
-            if peer.connecting is not None:
-                peer.connecting.cancel()
+            if peer.connect_task is not None:
+                peer.connect_task.cancel()
             if peer.channel is not None:
-                peer.channel.drop()
+                peer.channel.abort()
 
-    def reach(self, ip: str) -> Channel | None:
+    def channel_to(self, ip: str) -> Channel | None:
         """The connection to a peer; where there is none, one is begun."""
         peer = self.peer(ip)
-        peer.used_at = self.loop.time()
+        peer.last_used_at = self.loop.time()
         if peer.channel is not None:
             return peer.channel
-        if peer.connecting is None and self.loop.time() >= peer.again_at:
-            peer.connecting = self.loop.create_task(self.connect(ip, peer))
+        if peer.connect_task is None and self.loop.time() >= peer.next_connect_at:
+            peer.connect_task = self.loop.create_task(self.connect(ip, peer))
         return None
 
     async def connect(self, ip: str, peer: PeerConnection) -> None:
         # Danger: what asks a machine without power for a connection is lost, and the kernel asks again only
         # after a second, while the machine may be back at once.
         try:
-            async with asyncio.timeout(peer.patience_s):
+            async with asyncio.timeout(peer.connect_timeout_s):
                 _, channel = await self.loop.create_connection(
                     lambda: Channel(self, ip), ip, self.port, local_addr=(self.ip, 0)
                 )
         except (OSError, TimeoutError):
-            peer.again_at = self.loop.time() + CONNECT_PAUSE_S
-            peer.patience_s = min(MAX_CONNECT_TIMEOUT_S, 2 * peer.patience_s)
-            peer.messages.clear()
+            peer.next_connect_at = self.loop.time() + CONNECT_PAUSE_S
+            peer.connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, 2 * peer.connect_timeout_s)
+            peer.pending_messages.clear()
             return
         finally:
-            peer.connecting = None
-        peer.channel, peer.patience_s = channel, CONNECT_TIMEOUT_S
+            peer.connect_task = None
+        peer.channel, peer.connect_timeout_s = channel, CONNECT_TIMEOUT_S
         now = self.loop.time()
-        while peer.messages:
-            stale_at, frame = peer.messages.popleft()
+        while peer.pending_messages:
+            stale_at, frame = peer.pending_messages.popleft()
             if now < stale_at:
                 channel.write(frame)
 
@@ -232,21 +234,21 @@
     def send(self, ip: str, frame: wire.Frame) -> None:
         """Send without waiting for anything; it may be lost."""
         self.sign(frame)
-        channel = self.reach(ip)
+        channel = self.channel_to(ip)
         if channel is not None:
             channel.write(frame)
         else:
-            self.peer(ip).messages.append((self.loop.time() + MESSAGE_TTL_S, frame))
+            self.peer(ip).pending_messages.append((self.loop.time() + MESSAGE_TTL_S, frame))
 
-    async def request(self, ip: str, frame: wire.Frame, patience_s: float) -> wire.Frame | None:
+    async def request(self, ip: str, frame: wire.Frame, timeout_s: float) -> wire.Frame | None:
         """The answer, or nothing: no connection, none in time."""
-        end = self.loop.time() + patience_s
-        channel = self.reach(ip)
+        end = self.loop.time() + timeout_s
+        channel = self.channel_to(ip)
         if channel is None:
-            task = self.peer(ip).connecting
+            task = self.peer(ip).connect_task
             if task is None:
                 return None
-            await asyncio.wait([task], timeout=patience_s)
+            await asyncio.wait([task], timeout=timeout_s)
             channel = self.peer(ip).channel
             if channel is None:
                 return None
@@ -263,12 +265,12 @@
         except TimeoutError:
             if self.loop.time() - channel.last_received_at > SILENCE_TIMEOUT_S:
                 self.log_event(LogEvent(Event.PEER_DISCONNECTED, {"fellow": ip}))
-                channel.drop()
+                channel.abort()
             return None
         finally:
             self.calls.pop(number, None)
 
-    def received(self, frame: wire.Frame, channel: Channel) -> None:
+    def on_received(self, frame: wire.Frame, channel: Channel) -> None:
         if not frame.reply:
             self.on_frame(frame, channel)
             return
--- a/vetchusher/node/process.py
+++ b/vetchusher/node/process.py
@@ -21,7 +21,7 @@
 from vetchusher.settings.node import NodeSettings, read_node
 
 from .log import log_event
-from .paths import Channel, PeerNetwork
+from .peer_network import Channel, PeerNetwork
 
 SETTINGS_POLL_S = 1.0  # between two looks at the settings file, which may change without a signal
 MAX_CONFIGURATION_BYTES = (
@@ -57,18 +57,23 @@
     return time.monotonic_ns() // 1000
 
 
-def max_configuration_bytes(node: NodeSettings) -> int:
+def max_configuration_bytes(settings: NodeSettings) -> int:
     """Bytes that an operator's configuration may have, and all that come at one time."""
-    return min(MAX_CONFIGURATION_BYTES, node.limits.memory_mb * (1 << 20) // MEMORY_FRACTION)
+    return min(MAX_CONFIGURATION_BYTES, settings.limits.memory_mb * (1 << 20) // MEMORY_FRACTION)
 
 
 class Process:
-    def __init__(self, loop: asyncio.AbstractEventLoop, node: NodeSettings, path: str) -> None:
-        self.loop, self.node, self.path = loop, node, path
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: NodeSettings, settings_path: str) -> None:
+        self.loop, self.settings, self.settings_path = loop, settings, settings_path
         self.rng = random.Random(int.from_bytes(os.urandom(8), "big"))
         self.log_event: Callable[[LogEvent], None] = log_event
         self.network = PeerNetwork(
-            loop, node.ip_address, node.zone, node.internal_ports[0], self.on_frame, self.log_event
+            loop,
+            settings.ip_address,
+            settings.zone,
+            settings.internal_ports[0],
+            self.on_frame,
+            self.log_event,
         )
         self.parts: list[Part] = []
         self.listeners: list[Listener] = []
@@ -81,21 +86,21 @@
 
     async def start_parts(self) -> str:
         """Put together what the settings ask for; a line if that cannot be done."""
-        node = self.node
-        if node.data_directory:
+        settings = self.settings
+        if settings.data_directory:
             fault = await self.start_control()
             if fault:
                 return fault
-        if "edge" in node.serves:
+        if "edge" in settings.serves:
             from .edge_node import EdgeNode
 
-            edge = EdgeNode(self.loop, node, self.network, self.rng, steady_us, self.log_event)
+            edge = EdgeNode(self.loop, settings, self.network, self.rng, steady_us, self.log_event)
             self.parts.append(edge)
             await edge.open()
-            if node.listen.directory is not None and not node.data_directory:
+            if settings.listen.directory is not None and not settings.data_directory:
                 from .api_listener import DirectoryApi
 
-                door = DirectoryApi(edge.execute, node.listen.directory)
+                door = DirectoryApi(edge.execute, settings.listen.directory)
                 self.listeners.append(door)
                 door.open()
         await self.network.open()
@@ -109,35 +114,35 @@
         from .context import NodeContext
         from .control_node import ControlNode
 
-        node = self.node
-        opened = Store.open(node.data_directory, node.limits.disk_mb)
+        settings = self.settings
+        opened = Store.open(settings.data_directory, settings.limits.disk_mb)
         if isinstance(opened, Failure):
             return str(opened.failure().text)
         store = opened.unwrap()
         loaded = store.load()
-        kept, first_start = None, node.first_start
+        stored, first_start = None, settings.first_start
         match loaded:
             case Success(found):
-                kept = found
+                stored = found
             case Failure(fault):
                 # What cannot be read whole is forgotten: this machine votes for nothing until it has learnt.
                 self.log_event(LogEvent(Event.STORE_FAILED, {"why": fault.text}))
                 first_start = False
         if not first_start or store.imported_state is not None:
-            node = replace(node, first_start=False)
-        shelf = SnapshotStore.open(node.data_directory, node.limits.disk_mb)
-        if isinstance(shelf, Failure):
-            self.log_event(LogEvent(Event.STORE_FAILED, {"why": shelf.failure().text}))
-        context = NodeContext(self.loop, node, self.network, self.rng, steady_us, self.log_event)
-        control_node = ControlNode(context, store, kept, shelf.value_or(None))
+            settings = replace(settings, first_start=False)
+        snapshots = SnapshotStore.open(settings.data_directory, settings.limits.disk_mb)
+        if isinstance(snapshots, Failure):
+            self.log_event(LogEvent(Event.STORE_FAILED, {"why": snapshots.failure().text}))
+        context = NodeContext(self.loop, settings, self.network, self.rng, steady_us, self.log_event)
+        control_node = ControlNode(context, store, stored, snapshots.value_or(None))
         self.parts.append(control_node)
-        if node.listen.control is not None:
-            most = max_configuration_bytes(node)
+        if settings.listen.control is not None:
+            most = max_configuration_bytes(settings)
             self.listeners.append(
-                ControlApi(control_node.execute, node.listen.control, most, control_node.on_rejected)
+                ControlApi(control_node.execute, settings.listen.control, most, control_node.on_rejected)
             )
-        if node.listen.directory is not None:
-            self.listeners.append(DirectoryApi(control_node.execute, node.listen.directory))
+        if settings.listen.directory is not None:
+            self.listeners.append(DirectoryApi(control_node.execute, settings.listen.directory))
         for door in self.listeners:
             door.open()
         return ""
@@ -154,14 +159,15 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         self.log_event(
             LogEvent(
-                Event.STARTED, {"node": self.node.node_name, "serves": ",".join(sorted(self.node.serves))}
+                Event.STARTED,
+                {"node": self.settings.node_name, "serves": ",".join(sorted(self.settings.serves))},
             )
         )
         tasks = [self.loop.create_task(part.run()) for part in self.parts]
         tasks.append(self.loop.create_task(self.watch_settings()))
         await self.stop_requested.wait()
         self.log_event(LogEvent(Event.STOPPING))
-        end = self.loop.time() + max(0.5, self.node.bounds.grace_s - TEARDOWN_S)
+        end = self.loop.time() + max(0.5, self.settings.bounds.grace_s - TEARDOWN_S)
         for part in self.parts:
             part.begin_shut_down()
         await asyncio.gather(*(part.close(end) for part in self.parts))
@@ -177,7 +183,7 @@
 
     def read_settings_version(self) -> tuple[int, int]:
         try:
-            found = os.stat(self.path)
+            found = os.stat(self.settings_path)
         except OSError:
             return 0, 0
         return found.st_mtime_ns, found.st_size
@@ -191,11 +197,11 @@
     def reload_settings(self) -> None:
         """Take new seeds from the settings file; one that cannot be used changes nothing."""
         self.settings_version = self.read_settings_version()
-        match read_node(self.path):
-            case Success(node):
-                self.node = node
+        match read_node(self.settings_path):
+            case Success(settings):
+                self.settings = settings
                 for part in self.parts:
-                    part.update_settings(node)
+                    part.update_settings(settings)
                 self.log_event(LogEvent(Event.SETTINGS_RELOADED))
             case Failure(fault):
                 self.log_event(LogEvent(Event.SETTINGS_REJECTED, {"why": fault.text}))
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -42,7 +42,7 @@
 from vetchusher.settings.configuration import ClientLimits, Configuration
 
 from .attempts import Attempt, Attempts, Got, Matter
-from .callers import has_hung_up, unread_for_s
+from .caller_connection import has_hung_up, unread_for_s
 
 log = logging.getLogger("vetchusher")
 
--- a/vetchusher/node/repair_driver.py
+++ b/vetchusher/node/repair_driver.py
@@ -23,7 +23,7 @@
 from vetchusher.control.state import state_stamp
 from vetchusher.events import Event, LogEvent
 
-from .persistence import Persister
+from .persister import Persister
 
 Work = ScanRows | FetchRows | RewriteRows | RepairCopy
 MAX_PENDING = 8
--- a/vetchusher/node/server_list_poller.py
+++ b/vetchusher/node/server_list_poller.py
@@ -14,7 +14,7 @@
 from vetchusher.events import Event, LogEvent
 
 from .context import NodeContext
-from .platform import ServerListClient
+from .server_list_client import ServerListClient
 
 POLL_INTERVAL_S = 0.6  # between the begins of two polls
 MIN_PAUSE_S = 0.05
--- a/vetchusher/node/start.py
+++ b/vetchusher/node/start.py
@@ -11,25 +11,25 @@
 
 from vetchusher.settings.node import read_node
 
-CONFIG = "VETCHUSHER_CONFIG"
-UNUSABLE = 2
+SETTINGS_VARIABLE = "VETCHUSHER_CONFIG"
+EXIT_UNUSABLE = 2
 
 
 def start(path: str) -> int:
     """Run by the settings file until asked to stop; the exit code."""
     if not path:
-        return unusable(f"no settings: give --config or set {CONFIG}")
+        return report_unusable(f"no settings: give --config or set {SETTINGS_VARIABLE}")
     settings = read_node(path)
     if isinstance(settings, Failure):
-        return unusable(settings.failure().text)
+        return report_unusable(settings.failure().text)
     from .log import start_logging
     from .process import run
 
     start_logging()
-    return end(run(settings.unwrap(), path))
+    return exit_with(run(settings.unwrap(), path))
 
 
-def end(code: int) -> int:
+def exit_with(code: int) -> int:
     """Danger: Python waits for every thread, and one that writes to a disk that hangs would outlive the
     grace.  All that was to be told and closed has been; what is not synced was told to nobody."""
     if any(thread is not threading.main_thread() for thread in threading.enumerate()):
@@ -40,6 +40,6 @@
     return code
 
 
-def unusable(line: str) -> int:
+def report_unusable(line: str) -> int:
     print(f"vetchusher: {line}", file=sys.stderr)
-    return UNUSABLE
+    return EXIT_UNUSABLE
--- a/vetchusher/node/subscriber_driver.py
+++ b/vetchusher/node/subscriber_driver.py
@@ -11,8 +11,8 @@
 from vetchusher.distribution.subscriber import SendHeartbeat, SendPull, Subscriber, SubscriberOutput
 from vetchusher.events import LogEvent
 
-from .paths import PeerNetwork
-from .reading import ConfigurationParser
+from .configuration_parser import ConfigurationParser
+from .peer_network import PeerNetwork
 
 HEARTBEAT_TIMEOUT_S = 1.2  # for the answer to a beat
 PULL_TIMEOUT_S = 1.4
@@ -34,34 +34,36 @@
 class SubscriberDriver:
     """Owner of the questions under way: one beat a core machine, and one pull."""
 
-    def __init__(self, paths: PeerNetwork, subscriber: Subscriber, owner: SubscriberOwner) -> None:
-        self.paths, self.subscriber, self.owner = paths, subscriber, owner
+    def __init__(self, network: PeerNetwork, subscriber: Subscriber, owner: SubscriberOwner) -> None:
+        self.network, self.subscriber, self.owner = network, subscriber, owner
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def carry(self, sends: Sequence[SubscriberOutput]) -> None:
-        for send in sends:
-            work = self.heartbeat(send) if isinstance(send, SendHeartbeat) else self.pull(send)
-            task = self.paths.loop.create_task(work)
+    def perform(self, outputs: Sequence[SubscriberOutput]) -> None:
+        for output in outputs:
+            work = (
+                self.send_heartbeat(output) if isinstance(output, SendHeartbeat) else self.send_pull(output)
+            )
+            task = self.network.loop.create_task(work)
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def heartbeat(self, send: SendHeartbeat) -> None:
+    async def send_heartbeat(self, send: SendHeartbeat) -> None:
         sent_at, heartbeat = self.owner.now(), self.owner.heartbeat()
         heartbeat.wants_news = send.wants_delta
-        answer = await self.paths.request(send.to, wire.Frame(heartbeat=heartbeat), HEARTBEAT_TIMEOUT_S)
-        told = (
-            answer.heartbeat_reply
-            if answer is not None and answer.WhichOneof("body") == "heartbeat_reply"
+        frame = await self.network.request(send.to, wire.Frame(heartbeat=heartbeat), HEARTBEAT_TIMEOUT_S)
+        reply = (
+            frame.heartbeat_reply
+            if frame is not None and frame.WhichOneof("body") == "heartbeat_reply"
             else None
         )
-        if told is not None and told.HasField("news"):
-            await self.apply_updates(0, told.news)
-        self.carry(self.subscriber.on_heartbeat_reply(self.owner.now(), send.to, sent_at, told))
-
-    async def pull(self, send: SendPull) -> None:
-        answer = await self.paths.request(send.to, wire.Frame(pull=send.pull), PULL_TIMEOUT_S)
-        told = answer.news if answer is not None and answer.WhichOneof("body") == "news" else wire.News()
-        await self.apply_updates(send.number, told)
+        if reply is not None and reply.HasField("news"):
+            await self.apply_updates(0, reply.news)
+        self.perform(self.subscriber.on_heartbeat_reply(self.owner.now(), send.to, sent_at, reply))
+
+    async def send_pull(self, send: SendPull) -> None:
+        frame = await self.network.request(send.to, wire.Frame(pull=send.pull), PULL_TIMEOUT_S)
+        message = frame.news if frame is not None and frame.WhichOneof("body") == "news" else wire.News()
+        await self.apply_updates(send.number, message)
 
     async def apply_updates(self, number: int, message: wire.News) -> None:
         if sum(len(source.rows) for source in message.sources) > MAX_ROWS_ON_LOOP:
--- a/vetchusher/node/update_publisher.py
+++ b/vetchusher/node/update_publisher.py
@@ -7,8 +7,8 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.source import Source
 
-from .paths import Channel, PeerNetwork
-from .publishing import UpdateCache
+from .peer_network import Channel, PeerNetwork
+from .update_cache import UpdateCache
 
 MAX_WATCHERS = 2048
 
