--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -31,13 +31,13 @@
 from vetchusher.distribution.snapshot import SnapshotStore, snapshot_of
 from vetchusher.distribution.source import Source
 from vetchusher.events import LogEvent
-from vetchusher.limits.totals import QuotaCoordinator
-from vetchusher.limits.windows import Bounds as QuotaBounds
 from vetchusher.node import api_calls
 from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.peer_network import PeerNetwork
+from vetchusher.quota.coordinator import QuotaCoordinator
+from vetchusher.quota.windows import QuotaBounds as QuotaBounds
 from vetchusher.routing.claims import Seen
 from vetchusher.routing.request import Answer, Head, Send, judge
 from vetchusher.settings.compiled import form
@@ -213,7 +213,7 @@
     assert ground.table is not None
     quotas = ground.table.configuration.tenants
     held.configure(steady_us(), {name: quotas[name] for name in (f"t{n:06d}" for n in drawn)})
-    held.fleet(steady_us(), {"e0": steady_us()})
+    held.set_ingresses(steady_us(), {"e0": steady_us()})
     for turn in range(REQUESTS):
         if turn % EACH_PUSH == 0:
             sync(node, held)
@@ -239,7 +239,7 @@
 
 def sync(node: EdgeNode, held: QuotaCoordinator) -> None:
     """The totals of the drawn tenants, as the holder would tell them."""
-    push = node.quota.push(steady_us())
+    push = node.quota.next_push(steady_us())
     if push is not None:
         node.quota.on_totals(steady_us(), held.on_push(steady_us(), push))
 
@@ -326,7 +326,7 @@
     held.configure(0, {f"t{n:06d}": shape for n in range(tenants)})
     pools_mb = memory_mb() - start
     nodes = {f"e{n}": 0 for n in range(ingresses)}
-    held.fleet(0, nodes)
+    held.set_ingresses(0, nodes)
     rng, pushes, now = random.Random(1), [], 0
     count = max(PUSHES, 2 * ingresses)
     for number in range(count):
@@ -347,7 +347,7 @@
     return {
         "push_us": statistics.mean(late),
         "answer_bytes": answered / count,
-        "tick_us": timed_us(lambda: held.fleet(now, nodes), 5),
+        "tick_us": timed_us(lambda: held.set_ingresses(now, nodes), 5),
         "standing_us": timed_us(held.log_fields, 5),
         "pools_mb": pools_mb,
         "mb": memory_mb() - start,
@@ -359,13 +359,13 @@
     shape = Tenant("", (), None, 5.0, 5.0, frozenset())
     held, names = QuotaCoordinator(1, 0, QuotaBounds(5.0, 0.1, 20.0)), [f"t{n:06d}" for n in range(tenants)]
     held.configure(0, dict.fromkeys(names, shape))
-    held.fleet(0, {f"e{n}": 0 for n in range(ingresses)})
+    held.set_ingresses(0, {f"e{n}": 0 for n in range(ingresses)})
     start, now = memory_mb(), 0
     for ingress in range(ingresses):
         now += SECOND_US
         passed = [wire.Passed(tenant=name, count=1, recent=1) for name in names]
         held.on_push(now, wire.Push(node=f"e{ingress}", life=1, number=1, holder=1, passed=passed))
-    kept = sum(len(source.grants) for source in held.each_source())
+    kept = sum(len(source.grants) for source in held.all_peers())
     grown = memory_mb() - start
     return {"words": float(kept), "mb": grown, "bytes a word": grown * (1 << 20) / kept}
 
--- a/benchmarks/totals.py
+++ b/benchmarks/totals.py
@@ -26,8 +26,8 @@
 from vetchusher.emulator.quota.ways import Central, EstimateAlone, GuardAlone, Split
 from vetchusher.emulator.quota.world import Found, Scene, Trouble, World
 from vetchusher.limits import windows
-from vetchusher.limits.tally import LocalQuota
-from vetchusher.limits.totals import QuotaCoordinator
+from vetchusher.quota.coordinator import QuotaCoordinator
+from vetchusher.quota.local_quota import LocalQuota
 from vetchusher.settings.configuration import Tenant
 
 WAYS = {"ours": LocalQuota, "estimate alone": EstimateAlone, "guard alone": GuardAlone, "fixed split": Split}
@@ -273,10 +273,10 @@
 def in_vain(rate: float, times: float, limit: float) -> float:
     length = int(times * SECOND)
     most = rate * times * limit + rate * (times if not limit else 1.0)
-    pair, count, refused = windows.Pair(0, 0), 0, 0
+    pair, count, refused = windows.WindowPair(0, 0), 0, 0
     for at in bucket(rate, 1):
         pair.roll(at // length, count)
-        if pair.used(count, at % length, length) + 1.0 > most + 1e-9:
+        if pair.estimated_use(count, at % length, length) + 1.0 > most + 1e-9:
             refused += 1
         else:
             count += 1
@@ -290,10 +290,10 @@
     bound = (rate * 5 + rate) * 1.1 + 20
     worst = 0
     for begin in range(0, length, length // 10):
-        pair, count = windows.Pair(0, 0), 0
+        pair, count = windows.WindowPair(0, 0), 0
         for at in range(begin, begin + 5 * SECOND, SECOND // 1_000):
             pair.roll(at // length, count)
-            while pair.used(count, at % length, length) + 1.0 <= most + 1e-9:
+            while pair.estimated_use(count, at % length, length) + 1.0 <= most + 1e-9:
                 count += 1
         worst = max(worst, count)
     return worst / bound
@@ -305,8 +305,8 @@
     tally, holder, rng = make("e0", 1), QuotaCoordinator(1, 0), random.Random(1)
     for side in (tally, holder):
         side.configure(0, known)
-    holder.fleet(0, {"e0": 0})
-    tally.fleet(0, 1, True)
+    holder.set_ingresses(0, {"e0": 0})
+    tally.set_ingresses(0, 1, True)
     drawn_names = [rng.choice(names) for _ in range(requests)]
     decided, told_us, pushes, now = 0.0, 0.0, 0, 0
     for start in range(0, requests, 100):
@@ -315,7 +315,7 @@
         for name in drawn_names[start : start + 100]:
             tally.admit(now, name)
         middle = time.process_time()
-        push = tally.push(now)
+        push = tally.next_push(now)
         if push is not None:
             tally.on_totals(now, holder.on_push(now, push))
             pushes += 1
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -17,10 +17,6 @@
 # Parts of packages that stand on another floor than the rest; the longest prefix counts.
 PARTS = {
     "vetchusher.distribution.wire_pb2": "messages",  # generated; imports nothing of ours
-    "vetchusher.limits.tally": "quotas",  # the system's half of `limits`
-    "vetchusher.limits.totals": "quotas",
-    "vetchusher.limits.tries": "quotas",
-    "vetchusher.limits.windows": "quotas",
     "vetchusher.net.door": "sockets",  # what both programs have of `net`
     "vetchusher.net.links": "sockets",
     "vetchusher.net.plain": "sockets",
@@ -31,7 +27,7 @@
 SYSTEM = [
     ["node"],
     ["control", "routing", "directory", "discovery", "distribution"],
-    ["quotas"],
+    ["quota"],
 ]
 DAEMON = [
     ["__main__", "wirehost", "net"],
@@ -141,7 +137,7 @@
 
     def test_decisions_and_protocols_do_no_io(self):
         outside = {"asyncio", "aiohttp", "socket", "threading", "subprocess", "time", "selectors", "sqlite3"}
-        pure = {"routing", "directory", "discovery", "quotas", "limits", "policy", "fleet", "duties"}
+        pure = {"routing", "directory", "discovery", "quota", "limits", "policy", "fleet", "duties"}
         pure |= {"membership", "datagrams", "control", "distribution"}
         disks = {
             f"vetchusher.control.{name}"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -717,7 +717,7 @@
         asker.request_votes_when_synced(0)
         self.assertEqual([], asker.request_votes_when_synced(0))
         for save in memory.persist_changes(0):
-            memory.on_persisted(0, save.token, True)
+            memory.on_persisted(0, save.token, synced=True)
         self.assertEqual({"2", "3"}, {tell.to for tell in asker.request_votes_when_synced(0)})
         asker.on_reply(
             "2", VoteReply(epoch=1, granted=True, promised=1, record=first_replica_set("123"), copy=True)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -40,13 +40,13 @@
     def admit(self, now, tenant):
         return True
 
-    def room_at(self, now, tenant):
+    def retry_after_us(self, now, tenant):
         return 0
 
-    def first(self, now, service):
+    def on_request(self, now, service):
         pass
 
-    def may(self, now, service):
+    def take_attempt(self, now, service):
         return True
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -50,13 +50,13 @@
         self.quota -= 1
         return self.quota >= 0
 
-    def room_at(self, now, tenant):
+    def retry_after_us(self, now, tenant):
         return self.room_us
 
-    def first(self, now, service):
+    def on_request(self, now, service):
         self.firsts += 1
 
-    def may(self, now, service):
+    def take_attempt(self, now, service):
         self.extra -= 1
         return self.extra >= 0
 
--- a/tests/test_tally.py
+++ b/tests/test_tenant_quota.py
@@ -10,9 +10,9 @@
 from vetchusher.emulator.quota.scenes import drawn, drawn_large
 from vetchusher.emulator.quota.ways import EstimateAlone, GuardAlone
 from vetchusher.emulator.quota.world import Scene, Trouble, World
-from vetchusher.limits.tally import ALONE_US, LocalQuota
-from vetchusher.limits.totals import QuotaCoordinator
-from vetchusher.limits.windows import Bounds, Pair, shape_of
+from vetchusher.quota.coordinator import QuotaCoordinator
+from vetchusher.quota.local_quota import DISCONNECTED_US, LocalQuota
+from vetchusher.quota.windows import QuotaBounds, WindowPair, quota_shape
 from vetchusher.settings.configuration import Tenant
 
 MS = 1_000
@@ -27,9 +27,9 @@
     tallies, holder = [LocalQuota(f"e{n}", 1) for n in range(nodes)], QuotaCoordinator(1, 0)
     for side in (*tallies, holder):
         side.configure(0, {"t": tenant(rate)})
-    holder.fleet(0, {tally.node: 0 for tally in tallies})
+    holder.set_ingresses(0, {tally.node: 0 for tally in tallies})
     for tally in tallies:
-        tally.fleet(0, nodes, True)
+        tally.set_ingresses(0, nodes, True)
     for at in (1 * MS, 200 * MS):
         for tally in tallies:
             tally.admit(at, "t")
@@ -40,7 +40,7 @@
 
 def tell(tally: LocalQuota, holder: QuotaCoordinator, at: int, way: int = 0, lost: bool = False) -> None:
     """One push; its answer may be lost."""
-    push = tally.push(at)
+    push = tally.next_push(at)
     if push is not None:
         answer = holder.on_push(at + way, push)
         if not lost:
@@ -56,14 +56,14 @@
         # All windows, bursts anywhere: what the limit of rate x length + burst is for.
         for seed in range(20):
             rng, rate = random.Random(seed), 20.0
-            shape = shape_of(rate, rate * rng.choice((0.5, 1.0, 3.0)), Bounds())
-            pair, count, tokens, at = Pair(0, 0), 0, shape.depth, 0
+            shape = quota_shape(rate, rate * rng.choice((0.5, 1.0, 3.0)), QuotaBounds())
+            pair, count, tokens, at = WindowPair(0, 0), 0, shape.depth, 0
             for _ in range(2_000):
                 waits = rng.choice((0, 0, 0, rng.randrange(200 * MS)))
                 at, tokens = at + waits, min(shape.depth, tokens + rate * waits / 1e6)
                 if tokens >= 1.0:
                     pair.roll(at // shape.length_us, count)
-                    used = pair.used(count, at % shape.length_us, shape.length_us)
+                    used = pair.estimated_use(count, at % shape.length_us, shape.length_us)
                     self.assertTrue(used + 1.0 <= shape.limit + 1e-9, (seed, at, used))
                     tokens, count = tokens - 1.0, count + 1
 
@@ -74,12 +74,12 @@
         first = burst(tally, 300 * MS, 60)
         tell(tally, holder, 310 * MS)
         tally.configure(320 * MS, {"t": tenant(5.0)})
-        own = tally.own["t"]
+        own = tally.tenants["t"]
         left = own.limit - own.count
         self.assertEqual(60, first)
         self.assertTrue(left >= 1.0, left)
         self.assertEqual(0, burst(tally, 330 * MS, 40))
-        self.assertEqual((40, 0), (tally.by_estimate, tally.by_ceiling))
+        self.assertEqual((40, 0), (tally.rejected_by_estimate, tally.rejected_by_limit))
 
     def test_the_guard_refuses_where_the_estimate_sees_room(self):
         # Nine ingresses between two totals: each sees what had passed by then, none what passes now.
@@ -90,9 +90,9 @@
                 tally.__class__ = make
             passed = sum(burst(tally, 300 * MS) for tally in tallies)
             shape = holder.tenants["t"].shape
-            self.assertEqual(bounded, passed <= shape.depth + shape.ahead, passed)
+            self.assertEqual(bounded, passed <= shape.depth + shape.advance, passed)
             if bounded:
-                self.assertEqual((0, 9_000 - passed), (0, sum(t.by_ceiling for t in tallies)))
+                self.assertEqual((0, 9_000 - passed), (0, sum(t.rejected_by_limit for t in tallies)))
 
     def test_the_estimate_alone_breaks_the_bound_and_the_guard_keeps_it(self):
         hot, cut = Trouble("hot", 4 * SECOND, 6 * SECOND, 9.0), Trouble("cut", 5 * SECOND, 4 * SECOND, 0.5)
@@ -105,12 +105,12 @@
     def test_before_a_first_total_own_requests_alone_are_weighed_and_the_total_is_read_at_once(self):
         tally = LocalQuota("e1", 1)
         tally.configure(0, {"t": tenant(10.0)})
-        tally.fleet(0, 9, True)
+        tally.set_ingresses(0, 9, True)
         self.assertTrue(1 <= burst(tally, 0, 50) <= 3)
-        self.assertTrue(tally.eager)
-        push = tally.push(10 * MS)
+        self.assertTrue(tally.push_requested)
+        push = tally.next_push(10 * MS)
         self.assertEqual(["t"], [passed.tenant for passed in push.passed])
-        self.assertFalse(tally.eager)
+        self.assertFalse(tally.push_requested)
 
 
 class Told(TestCase):
@@ -121,7 +121,7 @@
         passed = burst(tally, 400 * MS, 20)
         tell(tally, holder, 410 * MS, lost=True)
         for at in (750 * MS, 760 * MS):
-            tally.own["t"].wanted = True
+            tally.tenants["t"].needs_total = True
             tell(tally, holder, at)
         self.assertEqual(20, passed)
         self.assertEqual(before + 20, holder.tenants["t"].windows.current)
@@ -136,8 +136,8 @@
         tell(tally, holder, 1_020 * MS)
         windows = holder.tenants["t"].windows
         self.assertEqual((4, start + 7), (windows.current, windows.previous))
-        pair = tally.own["t"].pair
-        self.assertEqual((4, start + 7), (pair.total, pair.before))
+        pair = tally.tenants["t"].windows
+        self.assertEqual((4, start + 7), (pair.current_total, pair.previous_total))
 
     def test_a_window_that_has_just_ended_is_told_even_if_the_push_comes_late(self):
         (tally,), holder = in_touch()
@@ -150,24 +150,24 @@
     def test_a_tenant_idle_for_two_windows_is_dropped_and_told_no_more(self):
         (tally,), holder = in_touch()
         tell(tally, holder, 300 * MS)
-        self.assertIn("t", tally.lately)
-        tally.push(3_300 * MS)
-        self.assertNotIn("t", tally.lately)
-        self.assertFalse(tally.own["t"].pair.known)
+        self.assertIn("t", tally.active_tenants)
+        tally.next_push(3_300 * MS)
+        self.assertNotIn("t", tally.active_tenants)
+        self.assertFalse(tally.tenants["t"].windows.has_total)
 
     def test_a_lowered_word_counts_as_the_higher_one_until_it_is_heard(self):
         (tally,), holder = in_touch()
         grant, pool = holder.peers["e0"][0].grants["t"], holder.tenants["t"]
         high = grant.limit
-        pool.level = -pool.shape.ahead - 5.0
-        tally.own["t"].wanted = True
+        pool.available = -pool.shape.advance - 5.0
+        tally.tenants["t"].needs_total = True
         tell(tally, holder, 400 * MS, lost=True)
         self.assertEqual(high, grant.limit)
-        tally.own["t"].wanted = True
+        tally.tenants["t"].needs_total = True
         tell(tally, holder, 500 * MS)
-        self.assertTrue(tally.own["t"].limit < high)
+        self.assertTrue(tally.tenants["t"].limit < high)
         self.assertEqual(high, grant.limit)
-        tally.own["t"].wanted = True
+        tally.tenants["t"].needs_total = True
         tell(tally, holder, 600 * MS)
         self.assertTrue(grant.limit < high, (grant.limit, high))
 
@@ -175,26 +175,26 @@
         # 86 ingresses could take three each of a store of 30.
         tallies, holder = in_touch(rate=10.0, nodes=86)
         idle = tallies[-1]
-        holder.tenants["t"].level = -15.0
+        holder.tenants["t"].available = -15.0
         tell(tallies[0], holder, 500 * MS)
         alarm = holder.alarm(510 * MS)
-        idle.alarm(570 * MS, alarm)
+        idle.on_alarm(570 * MS, alarm)
         self.assertIsNone(holder.alarm(511 * MS))
         self.assertEqual(0, burst(idle, 580 * MS, 5))
 
     def test_a_new_holder_learns_what_the_one_before_had_left(self):
         (tally,), holder = in_touch()
         burst(tally, 290 * MS, 1)
-        holder.tenants["t"].level = -55.0
+        holder.tenants["t"].available = -55.0
         tell(tally, holder, 300 * MS)
         later = QuotaCoordinator(2, 700 * MS)
         later.configure(700 * MS, {"t": tenant(100.0)})
-        later.fleet(700 * MS, {"e0": 0})
+        later.set_ingresses(700 * MS, {"e0": 0})
         for at in (710 * MS, 800 * MS):
-            tally.own["t"].wanted = True
+            tally.tenants["t"].needs_total = True
             tell(tally, later, at)
-        self.assertTrue(later.whole)
-        self.assertTrue(later.tenants["t"].level < 5.0, later.tenants["t"].level)
+        self.assertTrue(later.is_complete)
+        self.assertTrue(later.tenants["t"].available < 5.0, later.tenants["t"].available)
 
 
 class Standing(TestCase):
@@ -205,11 +205,11 @@
         self.assertEqual([1, 1, 0, 1], figures)
         self.assertTrue(0.8 < float(first["bound"]) < 1.0, first)
         self.assertIsNone(holder.log_fields())
-        holder.fleet(500 * MS, {f"e{n}": 0 for n in range(86)})
+        holder.set_ingresses(500 * MS, {f"e{n}": 0 for n in range(86)})
         self.assertEqual(86, holder.log_fields()["ingresses"])
         self.assertIsNotNone(tally.log_fields(300 * MS))
         self.assertIsNone(tally.log_fields(310 * MS))
-        self.assertFalse(tally.log_fields(5_000 * MS) is None or tally.stood)
+        self.assertFalse(tally.log_fields(5_000 * MS) is None or tally.had_complete_totals)
 
 
 class CountedSources(dict):
@@ -228,8 +228,8 @@
         tally, holder = LocalQuota("e0", 1), QuotaCoordinator(1, 0)
         for side in (tally, holder):
             side.configure(0, tenants)
-        holder.fleet(0, {"e0": 0})
-        tally.fleet(0, 1, True)
+        holder.set_ingresses(0, {"e0": 0})
+        tally.set_ingresses(0, 1, True)
         tell(tally, holder, 1 * MS)
         for name in tenants:
             tally.admit(10 * MS, name)
@@ -240,11 +240,11 @@
 
     def test_ingresses_are_those_named_and_those_that_pushed(self):
         (_tally,), holder = in_touch()
-        holder.fleet(300 * MS, {"e0": 0, "e1": 0})
+        holder.set_ingresses(300 * MS, {"e0": 0, "e1": 0})
         self.assertEqual(2, holder.ingresses)
         holder.on_push(310 * MS, Push(node="e7", life=1, number=1))
         self.assertEqual(3, holder.ingresses)
-        holder.fleet(70_000 * MS, {"e1": 0})
+        holder.set_ingresses(70_000 * MS, {"e1": 0})
         self.assertEqual(1, holder.ingresses)
 
 
@@ -256,13 +256,13 @@
         named, unnamed = LocalQuota("e1", 1), LocalQuota("e9", 1)
         for tally, told in ((named, True), (unnamed, False)):
             tally.configure(0, {"t": tenant(90.0)})
-            tally.fleet(0, 9, told)
+            tally.set_ingresses(0, 9, told)
         first = burst(named, 0, 200)
         self.assertTrue(1 <= first <= 90 / 9 + 3, first)
         later = sum(named.admit(at * MS, "t") for at in range(1_000, 6_000))
         self.assertTrue(later <= 5 * 90 / 9 + 20, later)
         self.assertFalse(any(unnamed.admit(at * MS, "t") for at in range(2_000)))
-        self.assertFalse(named.admit(ALONE_US + 1, "t"))  # the core may count it as gone
+        self.assertFalse(named.admit(DISCONNECTED_US + 1, "t"))  # the core may count it as gone
 
 
 class Bound(TestCase):
--- a/vetchusher/emulator/quota/judge.py
+++ b/vetchusher/emulator/quota/judge.py
@@ -8,10 +8,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from vetchusher.limits.windows import Bounds
+from vetchusher.quota.windows import QuotaBounds
 
 MS, SECOND = 1_000, 1_000_000
-BOUNDS = Bounds()
+BOUNDS = QuotaBounds()
 
 
 @dataclass(slots=True, frozen=True)
--- a/vetchusher/emulator/quota/mutations.py
+++ b/vetchusher/emulator/quota/mutations.py
@@ -9,10 +9,11 @@
 from unittest.mock import patch
 
 from vetchusher.distribution.wire_pb2 import Passed
-from vetchusher.limits import totals
-from vetchusher.limits.tally import LocalQuota, TenantUsage
-from vetchusher.limits.totals import QuotaCoordinator, ReportingPeer, TenantQuota
-from vetchusher.limits.windows import Pair
+from vetchusher.limits import coordinator
+from vetchusher.quota.coordinator import QuotaCoordinator
+from vetchusher.quota.local_quota import LocalQuota, TenantUsage
+from vetchusher.quota.tenant_quota import ReportingPeer, TenantQuota
+from vetchusher.quota.windows import WindowPair
 
 from .judge import SECOND, Demand
 from .world import Found, Scene, Trouble
@@ -31,36 +32,36 @@
 @contextmanager
 def no_number() -> Iterator[None]:
     """A push told again adds again: what the last one added is added once more."""
-    count = QuotaCoordinator.count
+    count = QuotaCoordinator.add_count
     added: dict[tuple[int, str], int] = {}
 
     def adds(
         self: QuotaCoordinator, now: int, pool: TenantQuota, source: ReportingPeer, passed: Passed, *rest: Any
     ) -> bool:
         key, grant = (id(source), passed.tenant), source.grants.get(passed.tenant)
-        before = grant.count if grant is not None and grant.known else passed.count
+        before = grant.count if grant is not None and grant.has_report else passed.count
         if passed.count == before:
-            pool.level -= added.get(key, 0)
+            pool.available -= added.get(key, 0)
         else:
             added[key] = passed.count - before
         return count(self, now, pool, source, passed, *rest)
 
-    with patch.object(QuotaCoordinator, "count", adds):
+    with patch.object(QuotaCoordinator, "add_count", adds):
         yield
 
 
 @contextmanager
 def not_held_back() -> Iterator[None]:
     """Nothing is kept for those without a word: neither their firsts nor the rate of the silent."""
-    look = QuotaCoordinator.look
+    look = QuotaCoordinator.check_silence
 
     def looks(self: QuotaCoordinator, now: int) -> None:
         look(self, now)
-        self.silent = 0
+        self.silent_peers = 0
 
     with (
-        patch.object(totals, "reserve_of", lambda shape, ingresses: 0.0),
-        patch.object(QuotaCoordinator, "look", looks),
+        patch.object(coordinator, "reserved_requests", lambda shape, ingresses: 0.0),
+        patch.object(QuotaCoordinator, "check_silence", looks),
     ):
         yield
 
@@ -68,7 +69,7 @@
 @contextmanager
 def lost_total_is_nought() -> Iterator[None]:
     """A new holder begins with full stores, and takes what it is first told as long passed."""
-    count, init = QuotaCoordinator.count, QuotaCoordinator.__init__
+    count, init = QuotaCoordinator.add_count, QuotaCoordinator.__init__
 
     def counts(
         self: QuotaCoordinator, now: int, pool: TenantQuota, source: ReportingPeer, passed: Passed, *rest: Any
@@ -78,31 +79,34 @@
 
     def begins(self: QuotaCoordinator, *args: Any) -> None:
         init(self, *args)
-        self.whole = True
+        self.is_complete = True
 
-    with patch.object(QuotaCoordinator, "count", counts), patch.object(QuotaCoordinator, "__init__", begins):
+    with (
+        patch.object(QuotaCoordinator, "add_count", counts),
+        patch.object(QuotaCoordinator, "__init__", begins),
+    ):
         yield
 
 
 @contextmanager
 def last_window_forgotten() -> Iterator[None]:
     """What passed before the current window is neither weighed nor told to a new holder."""
-    own = Pair.own
+    own = WindowPair.local_counts
 
-    def owned(self: Pair, count: int) -> tuple[int, int]:
+    def owned(self: WindowPair, count: int) -> tuple[int, int]:
         return own(self, count)[0], 0
 
-    def used(self: Pair, count: int, into_us: int, length_us: int) -> float:
-        return self.total + count - max(self.pulled, self.began)
+    def used(self: WindowPair, count: int, into_us: int, length_us: int) -> float:
+        return self.current_total + count - max(self.pulled_count, self.current_began)
 
-    with patch.object(Pair, "own", owned), patch.object(Pair, "used", used):
+    with patch.object(WindowPair, "local_counts", owned), patch.object(WindowPair, "estimated_use", used):
         yield
 
 
 @contextmanager
 def parts_by_who_seems_alive() -> Iterator[None]:
     """Cut off, an ingress divides by those that it hears: itself."""
-    settle = LocalQuota.settle
+    settle = LocalQuota.refresh_limit
 
     def settles(self: LocalQuota, now: int, own: TenantUsage) -> None:
         ingresses = self.ingresses
@@ -111,7 +115,7 @@
         settle(self, now, own)
         self.ingresses = ingresses
 
-    with patch.object(LocalQuota, "settle", settles):
+    with patch.object(LocalQuota, "refresh_limit", settles):
         yield
 
 
--- a/vetchusher/emulator/quota/ways.py
+++ b/vetchusher/emulator/quota/ways.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 
 from vetchusher.distribution.wire_pb2 import Push
-from vetchusher.limits.tally import LocalQuota, TenantUsage
-from vetchusher.limits.windows import Shape, shape_of
+from vetchusher.quota.local_quota import LocalQuota, TenantUsage
+from vetchusher.quota.windows import QuotaShape, quota_shape
 from vetchusher.settings.configuration import Tenant
 
 from .judge import BOUNDS
@@ -16,14 +16,14 @@
 class EstimateAlone(LocalQuota):
     """No guard: whatever the weighted estimate lets through passes."""
 
-    def settle(self, now: int, own: TenantUsage) -> None:
-        own.limit = own.count + own.shape.limit
+    def refresh_limit(self, now: int, usage: TenantUsage) -> None:
+        usage.limit = usage.count + usage.shape.limit
 
 
 class GuardAlone(LocalQuota):
     """No estimate: whatever the ceilings let through passes."""
 
-    def limit(self, own: TenantUsage) -> float:
+    def estimate_limit(self, usage: TenantUsage) -> float:
         return float("inf")
 
 
@@ -50,14 +50,14 @@
     def __init__(self, node: str, life: int) -> None:
         super().__init__(node, life)
         self.stores: dict[str, Store] = {}
-        self.shapes: dict[str, Shape] = {}
+        self.shapes: dict[str, QuotaShape] = {}
 
     def configure(self, now: int, tenants: Mapping[str, Tenant]) -> None:
-        shapes = {n: shape_of(t.rate_per_s, t.burst_size, BOUNDS) for n, t in tenants.items()}
+        shapes = {n: quota_shape(t.rate_per_s, t.burst_size, BOUNDS) for n, t in tenants.items()}
         self.shapes = {name: shape for name, shape in shapes.items() if shape is not None}
         self.divide(now)
 
-    def fleet(self, now: int, ingresses: int, named: bool) -> None:
+    def set_ingresses(self, now: int, ingresses: int, is_counted: bool) -> None:
         if ingresses != self.ingresses:
             self.ingresses = ingresses
             self.divide(now)
@@ -67,13 +67,13 @@
         for name, shape in self.shapes.items():
             old = self.stores.get(name)
             if old is None or old.rate != shape.rate / parts:
-                self.stores[name] = Store(shape.rate / parts, (shape.depth + shape.ahead) / parts, now)
+                self.stores[name] = Store(shape.rate / parts, (shape.depth + shape.advance) / parts, now)
 
     def admit(self, now: int, tenant: str) -> bool:
         store = self.stores.get(tenant)
         return store is not None and store.take(now)
 
-    def push(self, now: int) -> Push | None:
+    def next_push(self, now: int) -> Push | None:
         return None
 
 
--- a/vetchusher/emulator/quota/world.py
+++ b/vetchusher/emulator/quota/world.py
@@ -14,8 +14,8 @@
 from itertools import accumulate
 
 from vetchusher.distribution.wire_pb2 import Push, Totals
-from vetchusher.limits.tally import LocalQuota
-from vetchusher.limits.totals import QuotaCoordinator
+from vetchusher.quota.coordinator import QuotaCoordinator
+from vetchusher.quota.local_quota import LocalQuota
 from vetchusher.settings.configuration import Tenant
 
 from .judge import MS, SECOND, Book, Demand
@@ -144,7 +144,7 @@
         if not post.answers:
             return
         nodes = {f"edge{i.number}": i.seen + post.offset for i in self.ingresses if self.at - i.seen < SEEN}
-        post.holder.fleet(self.at + post.offset, nodes)
+        post.holder.set_ingresses(self.at + post.offset, nodes)
         self.after(BEAT, lambda: self.tell_fleet(post))
 
     # -- messages -------------------------------------------------------------------------
@@ -176,7 +176,7 @@
             tally = ingress.tally
             way = 2 * self.way(ingress, (ingress.region + 1) % 3)
             if not ingress.deaf:
-                self.after(way, lambda: tally.fleet(self.at + ingress.offset, count, False))
+                self.after(way, lambda: tally.set_ingresses(self.at + ingress.offset, count, False))
         self.after(BEAT, lambda: self.heartbeat(ingress, life))
 
     def sync(self, ingress: Ingress, life: int) -> None:
@@ -188,7 +188,7 @@
     def send(self, ingress: Ingress, life: int) -> None:
         if ingress.life != life or ingress.tally is None or self.at < ingress.thaws:
             return
-        push = ingress.tally.push(ingress.now(self.at))
+        push = ingress.tally.next_push(ingress.now(self.at))
         post = next((p for p in reversed(self.posts) if self.reaches(ingress, p)), None)
         if push is not None and post is not None:
             data = push.SerializeToString()
@@ -218,7 +218,7 @@
 
     def alarmed(self, ingress: Ingress, life: int, post: Post, data: bytes) -> None:
         if ingress.tally is not None and ingress.life == life and self.hears(ingress, post):
-            ingress.tally.alarm(ingress.now(self.at), Totals.FromString(data))
+            ingress.tally.on_alarm(ingress.now(self.at), Totals.FromString(data))
 
     def answered(self, ingress: Ingress, life: int, post: Post, data: bytes) -> None:
         if self.at < ingress.thaws:
@@ -248,9 +248,9 @@
         if ingress.tally is None:
             return
         book.ask(self.at)
-        eager = ingress.tally.eager
+        eager = ingress.tally.push_requested
         passed = ingress.tally.admit(ingress.now(self.at), self.name(number))
-        if ingress.tally.eager and not eager:
+        if ingress.tally.push_requested and not eager:
             life = ingress.life
             self.after(self.rng.randrange(TICK), lambda: self.send(ingress, life))
         if passed:
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -17,9 +17,9 @@
 from vetchusher.distribution.source import ZERO_STAMP, Source, SourceUpdate
 from vetchusher.distribution.subscriber import Contact, SendPull, Subscriber, SubscriberOutput
 from vetchusher.errors import Error, ErrorCode
-from vetchusher.limits.tally import LocalQuota
-from vetchusher.limits.tries import ExtraTries
 from vetchusher.node import api_calls, control_node, edge_node, leader_roles, order_service, proxy
+from vetchusher.quota.local_quota import LocalQuota
+from vetchusher.quota.retry_budget import RetryBudget
 from vetchusher.routing import choice, claims, headers, request
 
 from . import world
@@ -121,7 +121,7 @@
     ),
     "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Error(kind, text)),),
     "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
-    "extra tries without a budget": ((ExtraTries, "may", lambda self, now, service: True),),
+    "extra tries without a budget": ((RetryBudget, "take_attempt", lambda self, now, service: True),),
     "totals begin anew with a regained lease": (
         (leader_roles.LeaderRoles, "coordinator_for", holds_totals_anew),
     ),
--- a/vetchusher/limits/__init__.py
+++ b/vetchusher/limits/__init__.py
@@ -1,9 +1,7 @@
-"""Quotas over many ingresses: the daemon's while its counter is unavailable, and the system's own.
+"""The daemon's quotas while its counter is unavailable.
 
-`Limits` is the face for the daemon's decision module, which reports what passed and what the counter and the
-peers said, and asks how much of the others' use its own view may lack.  The system uses `tally` (an ingress's
-side), `totals` (the holder's side), `windows` (their arithmetic) and `tries` (the retry budget).
-Nothing here does I/O.
+`Limits` is the face for the decision module, which reports what was admitted and what the counter and the
+peers said, and asks how much of the others' use its own view may lack.  Nothing here does I/O.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -15,7 +13,7 @@
     from .promised import Promise, promise
     from .tuning import Tuning
 
-# Loaded for whoever asks for them: the system starts without the daemon's half.
+# Loaded when they are first asked for: most processes need a part of them.
 _PLACES = {
     "SYNC_SLICES": "calls",
     "SYNC_US": "calls",
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -18,9 +18,9 @@
 from vetchusher.distribution.subscriber import Subscriber, SubscriberOutput
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
-from vetchusher.limits.tally import LocalQuota
-from vetchusher.limits.tries import ExtraTries
-from vetchusher.limits.windows import Bounds as QuotaBounds
+from vetchusher.quota.local_quota import LocalQuota
+from vetchusher.quota.retry_budget import RetryBudget
+from vetchusher.quota.windows import QuotaBounds as QuotaBounds
 from vetchusher.settings.configuration import Configuration
 from vetchusher.settings.node import NodeSettings
 
@@ -62,7 +62,7 @@
         bounds = settings.bounds
         quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
         self.quota = LocalQuota(settings.node_name, self.incarnation, bounds=quota)
-        self.retry_budget = ExtraTries(
+        self.retry_budget = RetryBudget(
             bounds.retry_budget_ratio, int(bounds.budget_slack), bounds.budget_window_s
         )
         self.proxy = Proxy(loop, settings, rng, self.quota, self.retry_budget, context.log_event)
@@ -89,7 +89,7 @@
                 self.subscriber.on_heartbeat_reply(self.now(), frame.sender, 0, frame.heartbeat_reply)
             )
         elif kind == "totals":  # unasked
-            self.quota.alarm(self.now(), frame.totals)
+            self.quota.on_alarm(self.now(), frame.totals)
         elif kind == "heartbeat":  # a neighbour's, which may be cut off from the core
             channel.reply(
                 frame, wire.Frame(heartbeat_reply=wire.HeartbeatReply(vector=version_vector(self.sources)))
@@ -127,8 +127,8 @@
             self.on_configuration(now)
         if "directory" in changed:
             ingresses = len(self.directory.rows)
-            self.quota.fleet(now, ingresses, self.settings.node_name in self.directory.rows)
-            self.retry_budget.fleet(ingresses)
+            self.quota.set_ingresses(now, ingresses, self.settings.node_name in self.directory.rows)
+            self.retry_budget.set_ingresses(ingresses)
             rows = self.directory.values()
             places, self.serving_ingresses = places_of(rows), entrances_of(rows)
             near = {name: at.zone for name, at in places.items() if at.region == self.settings.region}
@@ -213,10 +213,10 @@
         self.perform_subscriber_outputs(self.subscriber.tick(now))
         self.update_freshness(now)
         self.proxy.choice.kept_until = self.subscriber.primary_contact_at(now) + KEPT_LEASE_US
-        due = self.quota.eager or self.loop.time() - self.last_push_at_s >= PUSH_INTERVAL_S
+        due = self.quota.push_requested or self.loop.time() - self.last_push_at_s >= PUSH_INTERVAL_S
         if due and len(self.push_tasks) < MAX_PUSHES:
             self.last_push_at_s = self.loop.time()
-            primary, push = self.subscriber.primary(now), self.quota.push(now)
+            primary, push = self.subscriber.primary(now), self.quota.next_push(now)
             if primary and push is not None:
                 task = self.loop.create_task(self.push_counts(primary, push))
                 self.push_tasks.add(task)
@@ -225,7 +225,10 @@
         if standing is not None:
             self.log_event(
                 LogEvent(
-                    Event.QUOTA_TOTALS_COMPLETE if self.quota.stood else Event.QUOTA_TOTALS_STALE, standing
+                    Event.QUOTA_TOTALS_COMPLETE
+                    if self.quota.had_complete_totals
+                    else Event.QUOTA_TOTALS_STALE,
+                    standing,
                 )
             )
         self.network.keep_peers({*self.subscriber.contacts, *self.subscriber.neighbours})
--- a/vetchusher/node/leader_roles.py
+++ b/vetchusher/node/leader_roles.py
@@ -11,8 +11,8 @@
 from vetchusher.control import Replica
 from vetchusher.directory.presence import Presence
 from vetchusher.events import Event, LogEvent
-from vetchusher.limits.totals import QuotaCoordinator
-from vetchusher.limits.windows import Bounds as QuotaBounds
+from vetchusher.quota.coordinator import QuotaCoordinator
+from vetchusher.quota.windows import QuotaBounds as QuotaBounds
 from vetchusher.settings.configuration import Configuration
 
 from .context import NodeContext
@@ -54,7 +54,7 @@
         coordinator = self.quota_coordinator
         if coordinator is None:
             return
-        coordinator.fleet(now, self.presence.may_serve())
+        coordinator.set_ingresses(now, self.presence.may_serve())
         fields = coordinator.log_fields()
         if fields is not None:
             facts = {"epoch": coordinator.epoch, **fields}
@@ -68,7 +68,7 @@
             self.presence.remember(now, name)
         if self.quota_coordinator is None:
             self.quota_coordinator = self.coordinator_for(epoch, now)
-            self.quota_coordinator.fleet(now, self.presence.may_serve())
+            self.quota_coordinator.set_ingresses(now, self.presence.may_serve())
             if self.configuration is not None:
                 self.quota_coordinator.configure(now, self.configuration.tenants)
         self.server_list_task = self.context.loop.create_task(self.server_list_poller.run(epoch))
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -28,14 +28,14 @@
 from vetchusher.routing.request import (
     Act,
     Answer,
-    Budget,
+    AttemptBudget,
     Cancel,
     Ground,
     Head,
     Refuse,
     Request,
     Send,
-    Tally,
+    TenantQuotas,
     WakeAt,
     judge,
 )
@@ -175,8 +175,8 @@
         loop: asyncio.AbstractEventLoop,
         settings: FrontSettings,
         rng: random.Random,
-        tally: Tally,
-        budget: Budget,
+        tally: TenantQuotas,
+        budget: AttemptBudget,
         note: Callable[[LogEvent], None],
     ) -> None:
         self.loop = loop
--- a/vetchusher/routing/__init__.py
+++ b/vetchusher/routing/__init__.py
@@ -6,7 +6,18 @@
 
 from .choice import Choice
 from .claims import Claim, Seen
-from .request import Budget, Ground, Head, Request, Tally, judge
+from .request import AttemptBudget, Ground, Head, Request, TenantQuotas, judge
 from .routes import RouteTable
 
-__all__ = ["Budget", "Choice", "Claim", "Ground", "Head", "Request", "RouteTable", "Seen", "Tally", "judge"]
+__all__ = [
+    "AttemptBudget",
+    "Choice",
+    "Claim",
+    "Ground",
+    "Head",
+    "Request",
+    "RouteTable",
+    "Seen",
+    "TenantQuotas",
+    "judge",
+]
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -48,23 +48,23 @@
 _MILLIS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?", re.ASCII)
 
 
-class Tally(Protocol):
+class TenantQuotas(Protocol):
     """The tenants' quotas."""
 
     def admit(self, now: int, tenant: str) -> bool:
         """Whether one more request of the tenant may pass; if so it is counted."""
 
-    def room_at(self, now: int, tenant: str) -> int:
+    def retry_after_us(self, now: int, tenant: str) -> int:
         """us after which a refused one may try again."""
 
 
-class Budget(Protocol):
+class AttemptBudget(Protocol):
     """The extra tries, counted against the requests by service."""
 
-    def first(self, now: int, service: str) -> None:
+    def on_request(self, now: int, service: str) -> None:
         """A request for the service goes to its first server."""
 
-    def may(self, now: int, service: str) -> bool:
+    def take_attempt(self, now: int, service: str) -> bool:
         """Whether one more extra try may be made; if so it is taken."""
 
 
@@ -136,8 +136,8 @@
     """
 
     choice: Choice
-    tally: Tally
-    budget: Budget
+    tally: TenantQuotas
+    budget: AttemptBudget
     rng: random.Random
     table: RouteTable | None = None
     fresh_until: int = -1
@@ -204,10 +204,10 @@
         if tenant is not None and tenant.rate_per_s > 0 and not self.ground.tally.admit(now, tenant.name):
             self.done = True
             # Jitter: clients refused together must not return together.
-            wait = self.ground.tally.room_at(now, tenant.name) * (1.0 + 0.5 * self.ground.rng.random())
+            wait = self.ground.tally.retry_after_us(now, tenant.name) * (1.0 + 0.5 * self.ground.rng.random())
             retry_after = int(min(MOST_QUOTA_WAIT_US, max(LEAST_QUOTA_WAIT_US, wait)))
             return [Refuse(Error(ErrorCode.QUOTA_EXCEEDED, "over the quota", retry_after))]
-        self.ground.budget.first(now, self.service)
+        self.ground.budget.on_request(now, self.service)
         acts: list[Act] = [self._send(now, server)]
         if self.repeatable and self.route.max_attempts > 1:
             usual = self.ground.times.get(self.route.name, 0.0)
@@ -285,7 +285,7 @@
         server = self.ground.choice.choose(now, self.service, allowed, self.tried, self._loss(now))
         if server is None:
             return None
-        if self.arrived and not self.ground.budget.may(now, self.service):
+        if self.arrived and not self.ground.budget.take_attempt(now, self.service):
             return None
         return self._send(now, server)
 
