--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -38,8 +38,9 @@
 from vetchusher.node.peer_network import PeerNetwork
 from vetchusher.quota.coordinator import QuotaCoordinator
 from vetchusher.quota.windows import QuotaBounds as QuotaBounds
-from vetchusher.routing.claims import Seen
-from vetchusher.routing.request import Answer, Head, Send, judge
+from vetchusher.routing.actions import ForwardResponse, RequestHead, SendAttempt
+from vetchusher.routing.admission import admit_request
+from vetchusher.routing.claims import AttemptOutcome
 from vetchusher.settings.compiled import form
 from vetchusher.settings.configuration import Tenant, read_configuration
 from vetchusher.settings.node import Bounds, Listen, MachineLimits, NodeSettings, Tolerance
@@ -192,7 +193,7 @@
     watch.task.cancel()
     found["version"], found["servers_known"] = node.version, len(node.servers)
     found["request_us"], found["request_99_us"] = requests(node, routes, tenants)
-    node.proxy.tries.session.detach()
+    node.proxy.attempts.session.detach()
     await node.subscriber_driver.close()
     return found
 
@@ -206,7 +207,7 @@
 
 def requests(node: EdgeNode, routes: int, tenants: int) -> tuple[float, float]:
     """us of processor for all decisions on one request that goes to one server: median, and 99 in 100."""
-    rng, ground, spent = random.Random(1), node.proxy.ground, []
+    rng, ground, spent = random.Random(1), node.proxy.context, []
     ground.fresh_until = 1 << 62
     drawn = [rng.randrange(tenants) for _ in range(DRAWN)]
     held = QuotaCoordinator(1, steady_us())
@@ -226,14 +227,18 @@
         ]
         now = steady_us()
         begun = time.thread_time_ns()
-        request = judge(ground, Head("GET", f"/p{number:06d}/2f", headers, now)).value_or(None)
+        request = admit_request(ground, RequestHead("GET", f"/p{number:06d}/2f", headers, now)).value_or(None)
         if request is not None:
             acts = request.start(now)
-            sent = [act for act in acts if isinstance(act, Send)]
-            ended = request.ended(now + 20_000, sent[0].number, Seen.ANSWERED) if sent else []
-            if any(isinstance(act, Answer) for act in ended):
+            sent = [act for act in acts if isinstance(act, SendAttempt)]
+            ended = (
+                request.on_attempt_ended(now + 20_000, sent[0].number, AttemptOutcome.ANSWERED)
+                if sent
+                else []
+            )
+            if any(isinstance(act, ForwardResponse) for act in ended):
                 spent.append((time.thread_time_ns() - begun) / 1e3)
-                request.left(now + 20_000)
+                request.on_client_left(now + 20_000)
     return statistics.median(spent), statistics.quantiles(spent, n=100)[98]
 
 
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -403,7 +403,7 @@
                 if process.part.snapshot_writer is not None:
                     process.part.snapshot_writer.store.close()
             elif process.part is not None:
-                process.part.proxy.tries.session.detach()
+                process.part.proxy.attempts.session.detach()
         gc.unfreeze()
         gc.collect()
         gc.enable()
--- a/benchmarks/capacity/loopback.py
+++ b/benchmarks/capacity/loopback.py
@@ -134,7 +134,7 @@
             task.cancel()
         for part in self.parts.values():
             if isinstance(part, EdgeNode):
-                await part.proxy.tries.session.close()
+                await part.proxy.attempts.session.close()
             await part.subscriber_driver.close()
             await (part.network if isinstance(part, EdgeNode) else part.context.network).close()
 
--- a/benchmarks/totals.py
+++ b/benchmarks/totals.py
@@ -25,7 +25,7 @@
 from vetchusher.emulator.quota.scenes import LIGHT, drawn, drawn_large
 from vetchusher.emulator.quota.ways import Central, EstimateAlone, GuardAlone, Split
 from vetchusher.emulator.quota.world import Found, Scene, Trouble, World
-from vetchusher.limits import windows
+from vetchusher.quota import windows
 from vetchusher.quota.coordinator import QuotaCoordinator
 from vetchusher.quota.local_quota import LocalQuota
 from vetchusher.settings.configuration import Tenant
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -140,8 +140,8 @@
 
     async def ends(self, front, port, servers, start, first):
         """The status, and how often it arrived at servers."""
-        front.servers([])  # what was learnt is forgotten, and with it the connections
-        front.servers([server.row for server in servers])
+        front.set_servers([])  # what was learnt is forgotten, and with it the connections
+        front.set_servers([server.row for server in servers])
         servers[0].script.first = first
         async with Client(port) as client:
             status, headers, body = await client.ask(start, b"x" if start[0] == "P" else b"")
@@ -214,8 +214,8 @@
                 for name, more in surplus.items():
                     for late in (False, True):
                         case = coded, name, late
-                        front.servers([])
-                        front.servers([server.row])
+                        front.set_servers([])
+                        front.set_servers([server.row])
                         server.script = followed(coded, (lambda id: b"") if late else more)
                         before = len(server.writers)
                         async with Client(port) as client:
@@ -254,15 +254,15 @@
         for end in ("fin", "reset", "half"):
             server, other = Scripted("i-1"), Scripted("i-2")
             async with ingress(server, other) as (front, port):
-                front.servers([server.row])
+                front.set_servers([server.row])
                 async with Client(port) as client:
                     self.assertEqual(200, (await client.ask("GET /safe/1"))[0])
                     await asyncio.sleep(RESTED_S)
                     server.script = lambda id: (b"", end)  # noqa: B023
                     asking = asyncio.ensure_future(client.ask("POST /once/1", b"x"))
-                    while not front.tries.attempts:
+                    while not front.attempts.attempts:
                         await asyncio.sleep(0)
-                    front.servers([server.row, other.row])  # there would be another
+                    front.set_servers([server.row, other.row])  # there would be another
                     status, _, _ = await asking
                     ran = len(server.writers), server.runs[client.id], other.runs[client.id]
                     self.assertEqual((502, (1, 1, 0)), (status, ran), end)
@@ -274,12 +274,12 @@
         for written, statuses in ((b"", (200, 1)), (begun, (502, 0)), (b"no answer\r\n\r\n", (502, 0))):
             server, other = Scripted("i-1", lambda id: (written, "reset"), reads=False), Scripted("i-2")  # noqa: B023
             async with ingress(server, other) as (front, port):
-                front.servers([server.row])
+                front.set_servers([server.row])
                 async with Client(port) as client:
                     asking = asyncio.ensure_future(client.ask("POST /once/1", LONG))
-                    while not front.tries.attempts and not asking.done():
+                    while not front.attempts.attempts and not asking.done():
                         await asyncio.sleep(0)
-                    front.servers([server.row, other.row])
+                    front.set_servers([server.row, other.row])
                     status, _, _ = await asking
                     self.assertEqual(statuses, (status, other.runs[client.id]), written)
 
@@ -332,7 +332,7 @@
                 with socket.create_connection(("127.0.0.1", port)) as client:
                     client.sendall(self.head("id-1", 3000))
                     leave(client, end)
-                    while not front.ends:
+                    while not front.drain_deadlines:
                         await asyncio.sleep(0)
                 self.assertEqual({}, server.runs, end)
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -13,8 +13,8 @@
 from testtools import TestCase
 
 from vetchusher.control.state import MAX_ZONES
-from vetchusher.directory.naming import named, serving_ingresses
-from vetchusher.directory.neighbours import Place, neighbours
+from vetchusher.directory.naming import choose_addresses, serving_ingresses
+from vetchusher.directory.neighbours import IngressLocation, choose_neighbours
 from vetchusher.directory.presence import SERVING_US, Presence
 from vetchusher.discovery.reader import ListedServer, ServerListReader, read_page, read_row
 from vetchusher.distribution import source
@@ -216,7 +216,7 @@
 
         def at_an_ingress(now, seq):
             told.publish((1, seq), presence.rows(now))
-            return named(serving_ingresses(told.values()), "n", "n-a")
+            return choose_addresses(serving_ingresses(told.values()), "n", "n-a")
 
         self.assertEqual(["e1:1", "e2:1", "e3:1"], at_an_ingress(S, 1))
         for node, standing in (("e1", wire.LEAVING), ("e2", wire.READY)):
@@ -384,12 +384,12 @@
 
 class Neighbours(TestCase):
     def test_each_knows_a_small_set_and_one_that_goes_moves_only_the_sets_it_was_in(self):
-        places = {f"e{n}": Place(f"10.0.0.{n}", f"z{n % 6}", f"r{n % 3}") for n in range(30)}
-        sets = {node: neighbours(node, place.region, places) for node, place in places.items()}
+        places = {f"e{n}": IngressLocation(f"10.0.0.{n}", f"z{n % 6}", f"r{n % 3}") for n in range(30)}
+        sets = {node: choose_neighbours(node, place.region, places) for node, place in places.items()}
         self.assertEqual({3}, {len(found) for found in sets.values()})
         left = {node: place for node, place in places.items() if node != "e7"}
         for node, place in left.items():
-            now = neighbours(node, place.region, left)
+            now = choose_neighbours(node, place.region, left)
             if "10.0.0.7" not in sets[node]:
                 self.assertEqual(sets[node], now)
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -17,7 +17,7 @@
 from vetchusher.emulator.outside.servers import StandIn
 from vetchusher.net.door import Bounds, ClientLink
 from vetchusher.node.proxy import Proxy
-from vetchusher.node.trust import Learnt, Trusts
+from vetchusher.node.trust import ConnectionTrust, TrustByService
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
 
 PATIENCE_S = 60.0  # on the clock of the loop: what the stories wait for is within
@@ -72,11 +72,11 @@
     front = Proxy(loop, Settings(), random.Random(7), Open(), Open(), lambda note: None)
     port = free_port()
     front.open("127.0.0.1", port)
-    front.configuration(configuration(**changed))
-    front.fresh_until(1 << 62)
+    front.set_configuration(configuration(**changed))
+    front.set_fresh_until(1 << 62)
     for server in servers:
         await server.open()
-    front.servers([server.row for server in servers])
+    front.set_servers([server.row for server in servers])
     try:
         yield front, port
     finally:
@@ -178,7 +178,7 @@
     """How long idle connections are trusted, by service."""
 
     def test_resets_of_the_living_teach_nothing_of_idle_ones(self):
-        learnt = Learnt(30.0)
+        learnt = ConnectionTrust(30.0)
         learnt.lost(100.0, 1.0)
         self.assertAlmostEqual(0.8, learnt.span(100.0))
         learnt.reset_at_work(200.0, 0.0)  # a new one: the server has its own reasons
@@ -191,7 +191,7 @@
         self.assertTrue(learnt.span(216.0) > 0.8)
 
     def test_each_service_has_its_own(self):
-        trusts = Trusts(30.0)
+        trusts = TrustByService(30.0)
         attempts = [Mock(**{"send.server.service": name}) for name in ("a", "b")]
         trusts.of(attempts[0]).lost(1.0, 0.5)
         self.assertEqual([True, False], [trusts.of(one).span(1.0) < 1.0 for one in attempts])
@@ -292,8 +292,8 @@
                 server.moods = [mood] * 9
                 self.assertEqual(200, (await ask(port, "GET /safe/1"))[0], mood)
                 server.moods = []
-                front.servers([])  # what was learned of them is forgotten
-                front.servers([server.row, other.row])
+                front.set_servers([])  # what was learned of them is forgotten
+                front.set_servers([server.row, other.row])
 
     @unhurried
     async def test_whatever_servers_do_what_clients_are_told_is_true(self):
@@ -321,7 +321,7 @@
 
         async with ingress(*servers) as (front, port):
             await asyncio.gather(*(client(port, 10) for _ in range(12)))
-            self.assertEqual(0, sum(s.out for s in front.choice.standings.values()))
+            self.assertEqual(0, sum(s.open_requests for s in front.selector.server_states.values()))
         runs = sum((server.runs for server in servers), Counter())
         statuses = Counter(status for _, status in told.values())
         for id, (kind, status) in told.items():
@@ -341,7 +341,7 @@
             await ask(port, "GET /safe/1")
             self.assertEqual(3, server.connections)
             server.instance = "i-2"  # its address has passed on
-            front.servers([server.row])
+            front.set_servers([server.row])
             await asyncio.sleep(0.05)
             self.assertEqual(200, (await ask(port, "GET /safe/3"))[0])
             self.assertEqual(4, server.connections)
@@ -355,11 +355,11 @@
             with socket.create_connection(deaf.getsockname()):  # its line is full
                 async with ingress(server) as (front, port):
                     row = replace(server.row, instance="i-2", address=f"127.0.0.1:{deaf.getsockname()[1]}")
-                    front.servers([row])
+                    front.set_servers([row])
                     begun = asyncio.get_running_loop().time()
                     self.assertEqual(503, (await ask(port, "POST /once/1", b"x", left=3000))[0])
                     self.assertTrue(asyncio.get_running_loop().time() - begun < 2.0)
-                    front.servers([row, server.row])
+                    front.set_servers([row, server.row])
                     self.assertEqual(200, (await ask(port, "POST /once/1", b"x"))[0])
 
     @unhurried
@@ -456,7 +456,7 @@
             self.assertEqual(200, (await client.answer())[0])
             self.assertEqual(b"abc" + b"d" * 0x80000, server.arrivals[0].body)
             self.assertNotIn("Expect", server.arrivals[0].headers)
-            self.assertEqual(0, front.held)
+            self.assertEqual(0, front.buffered_bytes)
             self.assertEqual(413, (await ask(port, "POST /once/2", Content_Length="99999999"))[0])
 
     @unhurried
@@ -489,6 +489,6 @@
             while not server.at_work:
                 await asyncio.sleep(0.01)
             waiting.cancel()
-            while front.tries.attempts:
+            while front.attempts.attempts:
                 await asyncio.sleep(0.01)
-            self.assertEqual(0, front.choice.standings["i-1"].out)
+            self.assertEqual(0, front.selector.server_states["i-1"].open_requests)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,10 +9,18 @@
 
 from vetchusher.discovery.server import Server
 from vetchusher.errors import ErrorCode
-from vetchusher.routing import Choice, Ground, Head, RouteTable, Seen, judge, subsets
-from vetchusher.routing.claims import CLAIM, Claim, seen_of, what_next
-from vetchusher.routing.headers import passed_on
-from vetchusher.routing.request import Answer, Cancel, Refuse, Send, WakeAt
+from vetchusher.routing import (
+    AttemptOutcome,
+    RequestHead,
+    RouteTable,
+    RoutingContext,
+    ServerSelector,
+    admit_request,
+    subsets,
+)
+from vetchusher.routing.actions import CancelAttempt, ForwardResponse, Reject, SendAttempt, WakeAt
+from vetchusher.routing.claims import CLAIM_OF, Claim, next_step, outcome_of
+from vetchusher.routing.headers import request_headers
 from vetchusher.routing.routes import allowed_regions
 from vetchusher.routing.subsets import Subsets, ingresses_per_server, rank
 from vetchusher.settings.configuration import ClientLimits, Configuration, Route, RouteType, Service, Tenant
@@ -65,17 +73,17 @@
     """An ingress's ground, and one request on it at a time."""
 
     def __init__(self, *servers, conf=None, purse=None, node="edge-1"):
-        choice = Choice(random.Random(3), node, "gulf", ZONES)
+        choice = ServerSelector(random.Random(3), node, "gulf", ZONES)
         self.purse = purse or Purse()
-        self.ground = Ground(choice, self.purse, self.purse, random.Random(4), fresh_until=1 << 60)
+        self.ground = RoutingContext(choice, self.purse, self.purse, random.Random(4), fresh_until=1 << 60)
         self.choice = choice
         self.ground.configure(conf or configuration(route("safe"), route("once", RouteType.UNSAFE)))
-        choice.servers(servers)
+        choice.set_servers(servers)
 
     def judge(self, target="/safe/1", now=0, **headers):
         given = {"Host": "A.example:80", "X-Vetchusher-Attempt-Id": "id-1"}
         given |= {name.replace("_", "-"): value for name, value in headers.items()}
-        return judge(self.ground, Head("GET", target, list(given.items()), now))
+        return admit_request(self.ground, RequestHead("GET", target, list(given.items()), now))
 
     def request(self, *told, **headers):
         return self.judge(*told, **headers).unwrap()
@@ -83,8 +91,12 @@
 
 def kinds(acts):
     """The acts in short: who it is sent to, or how it ends."""
-    shown = {Send: lambda a: a.server.instance, Refuse: lambda a: a.fault.code, Answer: lambda a: "answer"}
-    shown |= {Cancel: lambda a: f"cancel {a.number}", WakeAt: lambda a: "wake"}
+    shown = {
+        SendAttempt: lambda a: a.server.instance,
+        Reject: lambda a: a.error.code,
+        ForwardResponse: lambda a: "answer",
+    }
+    shown |= {CancelAttempt: lambda a: f"cancel {a.number}", WakeAt: lambda a: "wake"}
     return [shown[type(act)](act) for act in acts]
 
 
@@ -92,39 +104,41 @@
     def test_what_was_seen_and_what_may_follow(self):
         refuse, fail, answer = ErrorCode.NOT_EXECUTED, ErrorCode.MAYBE_EXECUTED, None
         table = {  # seen: (again, otherwise) for what is repeatable, for what is not
-            Seen.NO_CONNECTION: ((True, refuse), (True, refuse)),
-            Seen.NOT_WRITTEN: ((True, refuse), (True, refuse)),
-            Seen.NOT_EXECUTED: ((True, refuse), (True, refuse)),
-            Seen.MISDIRECTED: ((True, refuse), (True, refuse)),
-            Seen.RESET: ((True, fail), (False, fail)),
-            Seen.SILENT: ((True, fail), (False, fail)),
-            Seen.GARBLED: ((True, fail), (False, fail)),
-            Seen.CANCELLED: ((True, fail), (False, fail)),
-            Seen.SERVER_ERROR: ((True, answer), (False, answer)),
-            Seen.ANSWERED: ((False, answer), (False, answer)),
+            AttemptOutcome.NO_CONNECTION: ((True, refuse), (True, refuse)),
+            AttemptOutcome.NOT_WRITTEN: ((True, refuse), (True, refuse)),
+            AttemptOutcome.NOT_EXECUTED: ((True, refuse), (True, refuse)),
+            AttemptOutcome.MISDIRECTED: ((True, refuse), (True, refuse)),
+            AttemptOutcome.RESET: ((True, fail), (False, fail)),
+            AttemptOutcome.SILENT: ((True, fail), (False, fail)),
+            AttemptOutcome.GARBLED: ((True, fail), (False, fail)),
+            AttemptOutcome.CANCELLED: ((True, fail), (False, fail)),
+            AttemptOutcome.SERVER_ERROR: ((True, answer), (False, answer)),
+            AttemptOutcome.ANSWERED: ((False, answer), (False, answer)),
         }
-        self.assertEqual(set(Seen), set(table))
+        self.assertEqual(set(AttemptOutcome), set(table))
         for seen, expected in table.items():
-            found = tuple((n.again, n.otherwise) for n in (what_next(seen, True), what_next(seen, False)))
+            found = tuple((n.may_retry, n.otherwise) for n in (next_step(seen, True), next_step(seen, False)))
             self.assertEqual(expected, found, seen)
 
     def test_what_an_answer_shows(self):
         for status, not_executed, ours, sealed, seen in (
-            (200, False, True, True, Seen.ANSWERED),
-            (200, False, True, False, Seen.GARBLED),
-            (200, True, True, True, Seen.NOT_EXECUTED),
-            (404, False, True, False, Seen.ANSWERED),
-            (500, False, True, False, Seen.SERVER_ERROR),
-            (504, False, True, False, Seen.SERVER_ERROR),
-            (503, True, True, False, Seen.NOT_EXECUTED),
-            (503, False, True, True, Seen.GARBLED),
-            (429, False, True, False, Seen.GARBLED),
-            (408, False, True, False, Seen.GARBLED),
-            (421, False, True, False, Seen.MISDIRECTED),
-            (421, True, False, False, Seen.GARBLED),
-            (503, True, False, False, Seen.GARBLED),
+            (200, False, True, True, AttemptOutcome.ANSWERED),
+            (200, False, True, False, AttemptOutcome.GARBLED),
+            (200, True, True, True, AttemptOutcome.NOT_EXECUTED),
+            (404, False, True, False, AttemptOutcome.ANSWERED),
+            (500, False, True, False, AttemptOutcome.SERVER_ERROR),
+            (504, False, True, False, AttemptOutcome.SERVER_ERROR),
+            (503, True, True, False, AttemptOutcome.NOT_EXECUTED),
+            (503, False, True, True, AttemptOutcome.GARBLED),
+            (429, False, True, False, AttemptOutcome.GARBLED),
+            (408, False, True, False, AttemptOutcome.GARBLED),
+            (421, False, True, False, AttemptOutcome.MISDIRECTED),
+            (421, True, False, False, AttemptOutcome.GARBLED),
+            (503, True, False, False, AttemptOutcome.GARBLED),
         ):
-            self.assertEqual(seen, seen_of(status, not_executed, ours, sealed), (status, not_executed, ours))
+            self.assertEqual(
+                seen, outcome_of(status, not_executed, ours, sealed), (status, not_executed, ours)
+            )
 
 
 class Routes(TestCase):
@@ -173,25 +187,25 @@
         given += [("x-vetchusher-subscriber", "t"), ("X-VETCHUSHER-target-instance", "i"), ("Cookie", "a")]
         given += [("Content-Length", "3"), ("X-Vetchusher-Time-Remaining", "9"), ("cookie", "b")]
         cookies = [("Cookie", "a"), ("Cookie", "b")]
-        self.assertEqual(cookies, passed_on(given, True))
-        self.assertEqual([("Authorization", "Bearer k"), *cookies], passed_on(given, False))
+        self.assertEqual(cookies, request_headers(given, True))
+        self.assertEqual([("Authorization", "Bearer k"), *cookies], request_headers(given, False))
 
 
 class Stories(TestCase):
     def test_one_request_from_try_to_try(self):
         """Each line: route, servers, extra tries allowed; then what is seen and what follows it."""
-        full, reset, refused = Seen.NOT_EXECUTED, Seen.RESET, Seen.NO_CONNECTION
+        full, reset, refused = AttemptOutcome.NOT_EXECUTED, AttemptOutcome.RESET, AttemptOutcome.NO_CONNECTION
         for target, names, extra, story in (
-            ("/safe/1", "ab", 9, [(Seen.ANSWERED, "answer")]),
-            ("/safe/1", "ab", 9, [(reset, "again"), (Seen.ANSWERED, "answer")]),
+            ("/safe/1", "ab", 9, [(AttemptOutcome.ANSWERED, "answer")]),
+            ("/safe/1", "ab", 9, [(reset, "again"), (AttemptOutcome.ANSWERED, "answer")]),
             ("/safe/1", "abc", 9, [(reset, "again"), (full, ErrorCode.MAYBE_EXECUTED)]),
             ("/safe/1", "abc", 9, [(full, "again"), (full, ErrorCode.NOT_EXECUTED)]),
             ("/safe/1", "a", 9, [(reset, ErrorCode.MAYBE_EXECUTED)]),
             ("/safe/1", "ab", 0, [(reset, ErrorCode.MAYBE_EXECUTED)]),
-            ("/safe/1", "ab", 0, [(Seen.SERVER_ERROR, "answer")]),
-            ("/safe/1", "ab", 9, [(Seen.SERVER_ERROR, "again"), (reset, "answer")]),
+            ("/safe/1", "ab", 0, [(AttemptOutcome.SERVER_ERROR, "answer")]),
+            ("/safe/1", "ab", 9, [(AttemptOutcome.SERVER_ERROR, "again"), (reset, "answer")]),
             ("/once/1", "ab", 9, [(reset, ErrorCode.MAYBE_EXECUTED)]),
-            ("/once/1", "ab", 9, [(Seen.SERVER_ERROR, "answer")]),
+            ("/once/1", "ab", 9, [(AttemptOutcome.SERVER_ERROR, "answer")]),
             ("/once/1", "ab", 9, [(full, "again"), (reset, ErrorCode.MAYBE_EXECUTED)]),
             ("/once/1", "ab", 0, [(full, ErrorCode.NOT_EXECUTED)]),
             # what never reached a server is no extra try, yet there is an end of it
@@ -200,14 +214,16 @@
         ):
             scene = Scene(*map(server, names), purse=Purse(extra=extra))
             request = scene.request(target)
-            sent = [a for a in request.start(0) if isinstance(a, Send)]
+            sent = [a for a in request.start(0) if isinstance(a, SendAttempt)]
             for number, (seen, expected) in enumerate(story):
-                (act,) = request.ended(1000, number, seen)
-                if isinstance(act, Send):
+                (act,) = request.on_attempt_ended(1000, number, seen)
+                if isinstance(act, SendAttempt):
                     sent.append(act)
-                self.assertEqual(expected, "again" if isinstance(act, Send) else kinds([act])[0], story)
+                self.assertEqual(
+                    expected, "again" if isinstance(act, SendAttempt) else kinds([act])[0], story
+                )
             self.assertEqual(len(sent), len({s.server.instance for s in sent}), story)
-            self.assertEqual(0, sum(s.out for s in scene.choice.standings.values()))
+            self.assertEqual(0, sum(s.open_requests for s in scene.choice.server_states.values()))
 
     def test_late_one_gets_a_second_copy_and_the_first_good_answer_wins(self):
         """
@@ -222,17 +238,19 @@
         request = scene.request()
         first, wake = request.start(0)
         self.assertEqual((0, 333_333), (first.number, wake.at))
-        (second,) = request.late(wake.at)
+        (second,) = request.on_late(wake.at)
         self.assertNotEqual(first.server, second.server)
-        self.assertEqual([], request.late(wake.at + 1))
-        self.assertEqual([], request.ended(S, 1, Seen.RESET))
-        self.assertEqual(["answer"], kinds(request.ended(S, 0, Seen.ANSWERED)))
+        self.assertEqual([], request.on_late(wake.at + 1))
+        self.assertEqual([], request.on_attempt_ended(S, 1, AttemptOutcome.RESET))
+        self.assertEqual(["answer"], kinds(request.on_attempt_ended(S, 0, AttemptOutcome.ANSWERED)))
 
         request = scene.request(now=2 * S)
         request.start(2 * S)
-        request.late(3 * S)
-        self.assertEqual(["cancel 0", "answer"], kinds(request.ended(3 * S, 1, Seen.ANSWERED)))
-        self.assertEqual([], request.ended(3 * S, 0, Seen.ANSWERED))
+        request.on_late(3 * S)
+        self.assertEqual(
+            ["cancel 0", "answer"], kinds(request.on_attempt_ended(3 * S, 1, AttemptOutcome.ANSWERED))
+        )
+        self.assertEqual([], request.on_attempt_ended(3 * S, 0, AttemptOutcome.ANSWERED))
 
     def test_what_never_had_a_chance(self):
         conf = configuration(
@@ -254,12 +272,12 @@
             [ErrorCode.NO_SERVER_AVAILABLE], kinds(scene.request(**key).start(0))
         )  # its homes have none
         self.assertEqual((0, 1), (scene.purse.quota, scene.purse.firsts))  # nothing was counted for it
-        scene.choice.servers([server("b", "delta-a")])
+        scene.choice.set_servers([server("b", "delta-a")])
         for room_us, least, most in ((0, 100_000, 100_000), (S, S, 3 * S // 2), (9 * S, 2 * S, 2 * S)):
             scene.purse.room_us = room_us  # the tally says when there may be room
             (over,) = scene.request(**key).start(0)
-            self.assertEqual(ErrorCode.QUOTA_EXCEEDED, over.fault.code)
-            self.assertTrue(least <= over.fault.retry_after_us <= most, over.fault.retry_after_us)
+            self.assertEqual(ErrorCode.QUOTA_EXCEEDED, over.error.code)
+            self.assertTrue(least <= over.error.retry_after_us <= most, over.error.retry_after_us)
         scene.ground.fresh_until = -1
         for target, headers in (("/none/1", key), ("/safe/1", {})):
             fault = scene.judge(target, **headers).failure()
@@ -296,35 +314,35 @@
             while final is None or out:
                 for act in acts:
                     match act:
-                        case Send():
+                        case SendAttempt():
                             self.assertIsNone(final, course)
                             self.assertTrue(request.repeatable or set(claims) <= {Claim.NEVER_RAN}, course)
                             out[act.number] = act.server.instance
                             sends += 1
-                        case Cancel():
+                        case CancelAttempt():
                             del out[act.number]
-                        case Answer() | Refuse():
+                        case ForwardResponse() | Reject():
                             self.assertIsNone(final, course)
                             final = act
-                            if isinstance(act, Refuse) and act.fault.status == 503:
+                            if isinstance(act, Reject) and act.error.status == 503:
                                 self.assertTrue(not out and set(claims) <= {Claim.NEVER_RAN}, course)
                 acts = []
                 if out:
                     now += rng.randint(1, 700_000)
                     if rng.random() < 0.2:
-                        acts = request.late(now)
+                        acts = request.on_late(now)
                     else:
                         number = rng.choice(list(out))
                         del out[number]
-                        seen = rng.choice([s for s in Seen if s is not Seen.CANCELLED])
-                        claims.append(CLAIM[seen])
-                        acts = request.ended(now, number, seen, rng.random() < 0.5)
+                        seen = rng.choice([s for s in AttemptOutcome if s is not AttemptOutcome.CANCELLED])
+                        claims.append(CLAIM_OF[seen])
+                        acts = request.on_attempt_ended(now, number, seen, rng.random() < 0.5)
                 else:
                     self.assertIsNotNone(final, course)
             arrived = sum(claim is not Claim.NEVER_RAN for claim in claims)
             self.assertTrue(arrived <= request.route.max_attempts and sends <= 4, course)
             self.assertTrue(arrived <= 1 + extra, course)
-            self.assertEqual(0, sum(s.out for s in scene.choice.standings.values()), course)
+            self.assertEqual(0, sum(s.open_requests for s in scene.choice.server_states.values()), course)
 
 
 class Choices(TestCase):
@@ -340,39 +358,42 @@
         self.assertEqual({"a", "b"}, self.count(choice))
         self.assertEqual({"far"}, self.count(choice, allowed=frozenset({"delta"})))
         for _ in range(4):
-            choice.sent(0, "a")
-            choice.sent(0, "b")
+            choice.on_sent(0, "a")
+            choice.on_sent(0, "b")
         self.assertEqual({"far"}, self.count(choice))
         self.assertEqual({None}, self.count(choice, allowed=frozenset({"gulf"})))
-        choice.ended(0, "a", Seen.MISDIRECTED, 1000)
+        choice.on_ended(0, "a", AttemptOutcome.MISDIRECTED, 1000)
         self.assertEqual({"far"}, self.count(choice))
-        choice.ended(0, "b", Seen.ANSWERED, 1000)
+        choice.on_ended(0, "b", AttemptOutcome.ANSWERED, 1000)
         self.assertEqual({"b"}, self.count(choice))
-        choice.evacuated(frozenset({"gulf-b", "delta-a"}), 0)
+        choice.set_evacuated(frozenset({"gulf-b", "delta-a"}), 0)
         self.assertEqual({None}, self.count(choice))
 
     def test_full_ones_get_less_and_slow_ones_are_avoided(self):
         choice = Scene(server("a", capacity=8), server("b", capacity=8)).choice
         for _ in range(20):
-            choice.sent(0, "a")
-            choice.ended(0, "a", Seen.ANSWERED, 400_000)
-            choice.sent(0, "b")
-            choice.ended(0, "b", Seen.ANSWERED, 20_000)
+            choice.on_sent(0, "a")
+            choice.on_ended(0, "a", AttemptOutcome.ANSWERED, 400_000)
+            choice.on_sent(0, "b")
+            choice.on_ended(0, "b", AttemptOutcome.ANSWERED, 20_000)
         self.assertEqual({"b"}, self.count(choice))
         for _ in range(8):
-            choice.sent(0, "b")
-        choice.ended(0, "b", Seen.NOT_EXECUTED, 1000)
+            choice.on_sent(0, "b")
+        choice.on_ended(0, "b", AttemptOutcome.NOT_EXECUTED, 1000)
         self.assertEqual({"a"}, self.count(choice))
         for _ in range(40):
-            choice.sent(0, "b")
-            choice.ended(0, "b", Seen.RESET, 1000, prompt=True)
-        self.assertEqual(1.0, choice.standings["b"].bound)
+            choice.on_sent(0, "b")
+            choice.on_ended(0, "b", AttemptOutcome.RESET, 1000, reset_at_once=True)
+        self.assertEqual(1.0, choice.server_states["b"].open_limit)
 
     def test_quick_failures_do_not_attract(self):
         choice = Scene(server("a"), server("b")).choice
-        for name, seen, took in [("b", Seen.ANSWERED, 20_000), ("a", Seen.SERVER_ERROR, 1000)] * 2:
-            choice.sent(0, name)
-            choice.ended(0, name, seen, took)
+        for name, seen, took in [
+            ("b", AttemptOutcome.ANSWERED, 20_000),
+            ("a", AttemptOutcome.SERVER_ERROR, 1000),
+        ] * 2:
+            choice.on_sent(0, name)
+            choice.on_ended(0, name, seen, took)
         self.assertEqual({"b"}, self.count(choice))
 
     def test_cold_ones_are_for_their_owner_and_slowly(self):
@@ -385,20 +406,20 @@
         scene = Scene(cold, server("other", cold_until=5 * S, cold_owner="edge-2"))
         choice = scene.choice
         self.assertIsNone(choice.choose(2 * S, "svc", None))  # out of touch: it may be the owner no more
-        choice.kept_until = 20 * S
+        choice.cold_budget_until = 20 * S
         passed = {}
         for now in range(0, 5 * S, 10_000):
             if (found := choice.choose(now, "svc", None)) is not None:
-                choice.sent(now, found.instance)
-                choice.ended(now, found.instance, Seen.ANSWERED, 1000)
+                choice.on_sent(now, found.instance)
+                choice.on_ended(now, found.instance, AttemptOutcome.ANSWERED, 1000)
                 passed.setdefault(found.instance, []).append(now)
         self.assertEqual({"c"}, set(passed))
         self.assertTrue(passed["c"][0] == S and 40 <= len(passed["c"]) <= 44)
         worst = max(sum(1 for b in passed["c"] if a <= b < a + S) for a in passed["c"])
         self.assertTrue(worst <= 13, worst)
         self.assertEqual("other", choice.choose(5 * S, "svc", None, {"c"}).instance)
-        choice.evacuated(frozenset({"gulf-a"}), 5 * S)
-        choice.evacuated(frozenset(), 6 * S)
+        choice.set_evacuated(frozenset({"gulf-a"}), 5 * S)
+        choice.set_evacuated(frozenset(), 6 * S)
         self.assertIsNone(choice.choose(11 * S - 1, "svc", None, {"c"}))
         self.assertEqual("other", choice.choose(11 * S, "svc", None, {"c"}).instance)
 
@@ -408,13 +429,13 @@
         notes = []
         for round in range(30):
             for name in names:
-                choice.sent(round * 1000, name)
-                notes.append(choice.ended(round * 1000, name, Seen.NO_CONNECTION, 1000))
+                choice.on_sent(round * 1000, name)
+                notes.append(choice.on_ended(round * 1000, name, AttemptOutcome.NO_CONNECTION, 1000))
         self.assertEqual(3, len([note for note in notes if note]))
         self.assertEqual(3, len(self.count(choice, now=30_000) - {None}))
         self.assertEqual(6, len(self.count(choice, now=S)))  # the first rest is short
-        choice.sent(S, "a")
-        again = choice.ended(S, "a", Seen.NO_CONNECTION, 1000)
+        choice.on_sent(S, "a")
+        again = choice.on_ended(S, "a", AttemptOutcome.NO_CONNECTION, 1000)
         self.assertEqual(800, again.facts["for_ms"])  # the next one longer
 
     def test_what_may_run_once_keeps_away_from_those_that_fail_now_and_then(self):
@@ -425,30 +446,33 @@
         """
         choice = Scene(server("a"), server("b"), server("c")).choice
         for name, seens in [
-            ("a", [Seen.ANSWERED] * 3 + [Seen.SERVER_ERROR] + [Seen.ANSWERED] * 2),
-            ("b", [Seen.ANSWERED] * 6),
-            ("c", [Seen.ANSWERED] * 3 + [Seen.CANCELLED]),
+            (
+                "a",
+                [AttemptOutcome.ANSWERED] * 3 + [AttemptOutcome.SERVER_ERROR] + [AttemptOutcome.ANSWERED] * 2,
+            ),
+            ("b", [AttemptOutcome.ANSWERED] * 6),
+            ("c", [AttemptOutcome.ANSWERED] * 3 + [AttemptOutcome.CANCELLED]),
         ]:
             for seen in seens:
-                choice.sent(0, name)
-                choice.ended(0, name, seen, 100_000 if seen is Seen.CANCELLED else 20_000)
+                choice.on_sent(0, name)
+                choice.on_ended(0, name, seen, 100_000 if seen is AttemptOutcome.CANCELLED else 20_000)
         once = {choice.choose(0, "svc", None, (), 2 * S).instance for _ in range(200)}
         self.assertEqual({"b"}, once)
-        worth = {name: choice._cost(0, choice.standings[name], 2 * S) for name in "abc"}
+        worth = {name: choice._expected_cost(0, choice.server_states[name], 2 * S) for name in "abc"}
         self.assertTrue(worth["b"] < worth["a"] and worth["b"] < worth["c"], worth)
-        later = {name: choice._cost(60 * S, choice.standings[name], 2 * S) for name in "abc"}
+        later = {name: choice._expected_cost(60 * S, choice.server_states[name], 2 * S) for name in "abc"}
         self.assertTrue(max(later.values()) < 1.01 * min(later.values()), later)  # trust comes back
 
     def test_a_silent_server_is_left_before_its_first_request_ends(self):
         choice = Scene(server("a"), server("b")).choice
         for name in "ab":
-            choice.sent(0, name)
-            choice.ended(20_000, name, Seen.ANSWERED, 20_000)
-        choice.sent(20_000, "a")
-        choice.sent(480_000, "b")
+            choice.on_sent(0, name)
+            choice.on_ended(20_000, name, AttemptOutcome.ANSWERED, 20_000)
+        choice.on_sent(20_000, "a")
+        choice.on_sent(480_000, "b")
         self.assertEqual({"b"}, self.count(choice, now=500_000))
-        choice.answering("a", 20_000)  # its head has come: the client reads slowly
-        choice.sent(490_000, "b")
+        choice.on_response_begun("a", 20_000)  # its head has come: the client reads slowly
+        choice.on_sent(490_000, "b")
         self.assertEqual({"a"}, self.count(choice, now=500_000))
 
 
@@ -523,12 +547,12 @@
         zones = {f"edge-{n}": ("gulf-a", "gulf-b")[n % 2] for n in range(30)}
         servers = [server(f"s{n}", ("gulf-a", "gulf-b")[n % 2]) for n in range(40)]
         choice = Scene(*servers, node="edge-4").choice
-        choice.ingresses(zones)
+        choice.set_ingresses(zones)
         near = {choice.choose(0, "svc", None).instance for _ in range(300)}
         self.assertTrue(3 <= len(near) <= 16, near)
-        self.assertEqual({"gulf-a"}, {choice.standings[name].server.zone for name in near})
+        self.assertEqual({"gulf-a"}, {choice.server_states[name].server.zone for name in near})
         for name in near:
             for _ in range(3):
-                choice.ended(1000, name, Seen.NO_CONNECTION, 1000)
+                choice.on_ended(1000, name, AttemptOutcome.NO_CONNECTION, 1000)
         beyond = {choice.choose(2000, "svc", None).instance for _ in range(300)}
         self.assertTrue(len(beyond - near) > 10)
--- a/vetchusher/control/database_file.py
+++ b/vetchusher/control/database_file.py
@@ -74,7 +74,7 @@
     :param fill: writes what it holds from the first
     """
     path, temporary = folder / FILE_NAME, folder / f"{FILE_NAME}.new"
-    # Danger: sqlite would take a log left by a file that is gone for this one's.
+    # Safety: sqlite would take a log left by a file that is gone for this one's.
     stale_suffixes = ("-wal", "-journal", ".new", ".new-wal", ".new-journal")
     for stale in (path.with_name(FILE_NAME + tail) for tail in stale_suffixes):
         stale.unlink(missing_ok=True)
--- a/vetchusher/control/orders.py
+++ b/vetchusher/control/orders.py
@@ -79,7 +79,7 @@
         """Decide one order."""
         if isinstance(order, ReplaceOrder):
             return self.decide_replace(order)
-        # Danger: what is done already may be done only by the write, which is not committed yet.
+        # Safety: what is done already may be done only by the write, which is not committed yet.
         needs_commit = (
             self.state is not self.committed
             or apply_order(self.committed, order).value_or(None) is not self.committed
@@ -91,7 +91,7 @@
         if self.committed.version not in self.digests:
             self.digests[self.committed.version] = digest(self.committed.configuration)
         version, sent_digest = order.version, digest(order.body)
-        # Danger: what this batch gives a number to is not committed yet, and another body may yet have it.
+        # Safety: what this batch gives a number to is not committed yet, and another body may yet have it.
         needs_commit = version > self.committed.version
         known_digest = self.previous.digests.get(version) or self.digests.get(version) or sent_digest
         if known_digest != sent_digest:
@@ -100,7 +100,7 @@
                 needs_commit,
                 conflict_event(version, known_digest, sent_digest),
             )
-        # Danger: of a number below, another body may have been acknowledged, which may not be refused now.
+        # Safety: of a number below, another body may have been acknowledged, which may not be refused now.
         if version > self.previous.committed_version:
             self.digests[version] = sent_digest
         return Decision(self.apply(order), needs_commit)
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -152,7 +152,7 @@
             return
         if stamp_tuple(reply.stamp) == progress.sent_stamp:
             valid_until = progress.first_sent_at + self.timing.answer_valid_us
-            # Danger: a late word must not borrow the time of a newer one that told less.
+            # Safety: a late word must not borrow the time of a newer one that told less.
             progress.copy_valid_until = (
                 max(valid_until, progress.copy_valid_until)
                 if progress.copy_stamp == progress.sent_stamp
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -135,7 +135,7 @@
     current = first((e for e in state.evacuations if e.zone == order.zone), None)
     if order.on == (current is not None and current.on):
         return Success(state)
-    # Danger: on its way between two machines an order may be held up, and come after later ones.
+    # Safety: on its way between two machines an order may be held up, and come after later ones.
     if order.previous_order is not None and order.previous_order != last_evacuation_order(state, order.zone):
         return Failure(Error(ErrorCode.UNAVAILABLE, "the zone had another order meanwhile"))
     if current is None and len(state.evacuations) >= MAX_ZONES:
--- a/vetchusher/directory/naming.py
+++ b/vetchusher/directory/naming.py
@@ -23,7 +23,7 @@
     front: str
 
 
-def named(ingresses: Iterable[ServingIngress], region: str, zone: str) -> list[str]:
+def choose_addresses(ingresses: Iterable[ServingIngress], region: str, zone: str) -> list[str]:
     """Addresses for a client of that place: its region's; with fewer than two there, all."""
     serving = list(ingresses)
     near = [one for one in serving if one.region == region]
@@ -32,7 +32,7 @@
     return [one.front for one in chosen[:MOST_NAMED]]
 
 
-def row_of(ip: str, ingress: ServingIngress, serving: bool) -> bytes:
+def encode_ingress(ip: str, ingress: ServingIngress, serving: bool) -> bytes:
     fields = [ip, ingress.zone, ingress.region, ingress.front, int(serving)]
     return json.dumps(fields, separators=(",", ":")).encode()
 
--- a/vetchusher/directory/neighbours.py
+++ b/vetchusher/directory/neighbours.py
@@ -14,13 +14,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class IngressLocation:
     ip: str
     zone: str
     region: str
 
 
-def places_of(rows: Mapping[str, bytes]) -> dict[str, Place]:
+def decode_locations(rows: Mapping[str, bytes]) -> dict[str, IngressLocation]:
     """Ingresses by name, from the rows of the source `directory`; those without an address are left out."""
     found = {}
     for node, value in rows.items():
@@ -29,7 +29,7 @@
         except (ValueError, TypeError):
             continue
         if ip:
-            found[node] = Place(str(ip), str(zone), str(region))
+            found[node] = IngressLocation(str(ip), str(zone), str(region))
     return found
 
 
@@ -37,9 +37,11 @@
     return blake2b(f"{watcher}\n{watched}".encode(), digest_size=8).digest()
 
 
-def neighbours(me: str, region: str, places: Mapping[str, Place]) -> list[str]:
+def choose_neighbours(own_name: str, region: str, places: Mapping[str, IngressLocation]) -> list[str]:
     """Addresses (ip) of those that the ingress `me` watches: the highest ranks, most of its region."""
-    others = sorted((node for node in places if node != me), key=lambda node: rank(me, node), reverse=True)
+    others = sorted(
+        (node for node in places if node != own_name), key=lambda node: rank(own_name, node), reverse=True
+    )
     near = [node for node in others if places[node].region == region]
     far = [node for node in others if places[node].region != region]
     chosen = near[:NEAR] + far[:FAR]
--- a/vetchusher/directory/presence.py
+++ b/vetchusher/directory/presence.py
@@ -7,7 +7,7 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.events import Event, LogEvent
 
-from .naming import ServingIngress, named, row_of
+from .naming import ServingIngress, choose_addresses, encode_ingress
 
 SERVING_US = 2_500_000  # since the last heartbeat: five may be lost at the primary, two elsewhere
 MAY_SERVE_US = 60_000_000  # since the last heartbeat: cut off from here it may still serve clients
@@ -82,7 +82,7 @@
     def remember(self, now: int, node: str) -> None:
         """Add an ingress that stored rows name: it may still be serving.
 
-        Danger: a control node that has just started would count only those heard since.
+        Safety: a control node that has just started would count only those heard since.
         """
         if node not in self.ingresses and len(self.ingresses) < MOST_INGRESSES:
             self.ingresses[node] = Ingress(node, "", "", "", "", 0, wire.STARTING, now)
@@ -91,7 +91,8 @@
     def rows(self, now: int) -> dict[str, bytes]:
         """Rows for subscribers: every ingress that may be serving, by name, and whether it does."""
         return {
-            one.node: row_of(one.ip, one.as_serving(), one.is_serving(now)) for one in self.ingresses.values()
+            one.node: encode_ingress(one.ip, one.as_serving(), one.is_serving(now))
+            for one in self.ingresses.values()
         }
 
     def may_serve(self) -> dict[str, int]:
@@ -103,4 +104,4 @@
         return [one for one in self.ingresses.values() if one.is_serving(now)]
 
     def resolve(self, now: int, region: str, zone: str) -> list[str]:
-        return named((one.as_serving() for one in self.serving(now)), region, zone)
+        return choose_addresses((one.as_serving() for one in self.serving(now)), region, zone)
--- a/vetchusher/distribution/source.py
+++ b/vetchusher/distribution/source.py
@@ -150,7 +150,7 @@
             return False
         if len(update.rows) > MAX_ROWS:
             return False
-        # Danger: deltas would fill it beyond what any whole may have.
+        # Safety: deltas would fill it beyond what any whole may have.
         if not update.is_snapshot and self.size_with(update) > MAX_ROWS:
             return False
         if update.is_snapshot:
--- a/vetchusher/distribution/subscriber.py
+++ b/vetchusher/distribution/subscriber.py
@@ -168,7 +168,7 @@
     def _on_in_force_reply(
         self, contact: Contact, sent_at: int, reply: wire.HeartbeatReply, vector: dict[str, StampTuple]
     ) -> None:
-        """Danger: a vector told unasked may have waited behind a cut: it only raises what was told."""
+        """Safety: a vector told unasked may have waited behind a cut: it only raises what was told."""
         if sent_at < contact.last_in_force_at:
             vector = {
                 n: max(vector.get(n, ZERO_STAMP), contact.in_force_vector.get(n, ZERO_STAMP))
--- a/vetchusher/emulator/quota/mutations.py
+++ b/vetchusher/emulator/quota/mutations.py
@@ -9,7 +9,7 @@
 from unittest.mock import patch
 
 from vetchusher.distribution.wire_pb2 import Passed
-from vetchusher.limits import coordinator
+from vetchusher.quota import coordinator
 from vetchusher.quota.coordinator import QuotaCoordinator
 from vetchusher.quota.local_quota import LocalQuota, TenantUsage
 from vetchusher.quota.tenant_quota import ReportingPeer, TenantQuota
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -20,13 +20,13 @@
 from vetchusher.node import api_calls, control_node, edge_node, leader_roles, order_service, proxy
 from vetchusher.quota.local_quota import LocalQuota
 from vetchusher.quota.retry_budget import RetryBudget
-from vetchusher.routing import choice, claims, headers, request
+from vetchusher.routing import claims, context, headers, request, server_selection
 
 from . import world
 
-REAL_MERGE, REAL_PLACE = Source.apply, choice.Choice._place
+REAL_MERGE, REAL_PLACE = Source.apply, server_selection.ServerSelector._update_usable
 REAL_COORDINATOR_FOR = leader_roles.LeaderRoles.coordinator_for
-REAL_OVER = proxy.Flow.over
+REAL_OVER = proxy.ProxiedRequest.on_attempt_report
 REAL_EVACUATED = control_state.apply_evacuation
 REAL_CONFIGURED = edge_node.EdgeNode.on_configuration
 REAL_IN_FORCE = Subscriber._on_in_force_reply
@@ -60,9 +60,11 @@
     return REAL_EVACUATED(state, dataclasses.replace(order, previous_order=None))
 
 
-def takes_the_answer_before(self: proxy.Flow, number: int, seen: claims.Seen, prompt: bool, got: Any) -> None:
+def takes_the_answer_before(
+    self: proxy.ProxiedRequest, number: int, seen: claims.AttemptOutcome, prompt: bool, got: Any
+) -> None:
     """As if whatever lies on a connection were the answer."""
-    waiting = vars(self.front).setdefault("waiting", [])
+    waiting = vars(self.proxy).setdefault("waiting", [])
     if got is not None:
         waiting.append(got)
         got = waiting.pop(0) if len(waiting) > 1 else got
@@ -74,11 +76,11 @@
     return REAL_COORDINATOR_FOR(self, epoch, now)
 
 
-def keeps_the_drained(self: choice.Choice) -> None:
+def keeps_the_drained(self: server_selection.ServerSelector) -> None:
     REAL_PLACE(self)
-    for standing in self.standings.values():
+    for standing in self.server_states.values():
         if standing.server.draining:
-            regions = self.places.setdefault(standing.server.service, {})
+            regions = self.usable.setdefault(standing.server.service, {})
             regions.setdefault(standing.region, []).append(standing)
 
 
@@ -95,40 +97,44 @@
 
 def fresh_for_good(self: proxy.Proxy, until: int) -> None:
     """Until the next look says otherwise."""
-    self.ground.fresh_until = LONG if until >= self.now() else -1
+    self.context.fresh_until = LONG if until >= self.now() else -1
 
 
 PLANTED: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "what may have run is sent again": (
-        (request, "what_next", lambda seen, repeatable: claims.what_next(seen, True)),
+        (request, "next_step", lambda seen, repeatable: claims.next_step(seen, True)),
     ),
     "what may have run is promised not to": (
         (
             request.Request,
             "_give_up",
-            lambda self, now: self._refuse(ErrorCode.NOT_EXECUTED, "no server took it"),
+            lambda self, now: self._reject(ErrorCode.NOT_EXECUTED, "no server took it"),
         ),
     ),
     "a cold server's new owner does not wait": ((reader, "KEPT_WAIT_US", 0),),
     "a cold owner has no lease": ((edge_node, "KEPT_LEASE_US", 1 << 61),),
     "any ingress may send to a cold server": (
-        (choice.Choice, "_is_cold", lambda self, now, standing: False),
+        (server_selection.ServerSelector, "_is_cold", lambda self, now, standing: False),
     ),
     "an ingress takes older news": (
         (Source, "apply", takes_any_news),
         (Subscriber, "_pull_if_behind", pulls_whatever_differs),
         (edge_node.EdgeNode, "on_configuration", takes_any_version),
     ),
-    "denied while not fresh": ((request.Ground, "refusal", lambda self, now, kind, text: Error(kind, text)),),
-    "the drained are used": ((choice.Choice, "_place", keeps_the_drained),),
+    "denied while not fresh": (
+        (context.RoutingContext, "rejection", lambda self, now, kind, text: Error(kind, text)),
+    ),
+    "the drained are used": ((server_selection.ServerSelector, "_update_usable", keeps_the_drained),),
     "extra tries without a budget": ((RetryBudget, "take_attempt", lambda self, now, service: True),),
     "totals begin anew with a regained lease": (
         (leader_roles.LeaderRoles, "coordinator_for", holds_totals_anew),
     ),
     "quotas are not judged": ((LocalQuota, "admit", lambda self, now, tenant: True),),
-    "answers are not told by their ids": ((proxy.Flow, "over", takes_the_answer_before),),
+    "answers are not told by their ids": (
+        (proxy.ProxiedRequest, "on_attempt_report", takes_the_answer_before),
+    ),
     "keys go along to servers": (
-        (request, "passed_on", lambda given, keyed: headers.passed_on(given, keyed=False)),
+        (request, "request_headers", lambda given, keyed: headers.request_headers(given, keyed=False)),
     ),
     "homes are not heeded": ((request, "allowed_regions", lambda route, tenant: None),),
     "evacuations are not heeded": ((edge_node, "evacuated_of", lambda rows: frozenset()),),
@@ -140,7 +146,7 @@
     "a directory's answer has no age": ((control_node, "RESOLUTION_TTL_US", LONG),),
     "messages leave however late": ((control_node, "MAX_SEND_DELAY_US", LONG),),
     "a late vector lowers what was told": ((Subscriber, "_on_in_force_reply", takes_any_vector),),
-    "freshness stands still with the process": ((proxy.Proxy, "fresh_until", fresh_for_good),),
+    "freshness stands still with the process": ((proxy.Proxy, "set_fresh_until", fresh_for_good),),
     "a cut-off machine vouches": ((control_node.ControlNode, "is_in_force", lambda self, now: True),),
     "an order of evacuation bears no number": ((control_state, "apply_evacuation", evacuates_at_any_time),),
     "what was held up is passed on": ((order_service, "MAX_EVACUATION_DELAY_US", 1 << 61),),
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -12,10 +12,10 @@
 
 from vetchusher.emulator.fleet_world import MS
 from vetchusher.errors import Error, ErrorCode
-from vetchusher.node.attempts import Got, Matter, Report
+from vetchusher.node.attempts import AttemptReport, RequestSpec, ServerResponse
 from vetchusher.node.server_list_client import ServerListClient
-from vetchusher.routing.claims import Seen
-from vetchusher.routing.request import Send
+from vetchusher.routing.actions import SendAttempt
+from vetchusher.routing.claims import AttemptOutcome
 
 from .judge import Judge, Place
 from .process_loops import Net, ProcessLoop
@@ -119,8 +119,8 @@
 class Attempt:
     """One attempt under way."""
 
-    send: Send
-    report: Report
+    send: SendAttempt
+    report: AttemptReport
     expiry: asyncio.TimerHandle | None = None
     begun: bool = False
     over: bool = False
@@ -136,14 +136,14 @@
     def servers_changed(self, services: Collection[str]) -> None:
         """No connections are kept here."""
 
-    def start(self, send: Send, matter: Matter, report: Report) -> Attempt:
+    def start(self, send: SendAttempt, matter: RequestSpec, report: AttemptReport) -> Attempt:
         attempt = Attempt(send, report)
         self.attempts.add(attempt)
         attempt.expiry = self.loop.call_at(send.deadline / 1e6, self.expire, attempt)
         ip = send.server.address.partition(":")[0]
         clock, here = self.net.clock, self.loop.ip
         if not self.net.open(here, ip) or not self.net.open(ip, here):
-            clock.after(send.connect_us, lambda: self.finish(attempt, Seen.NO_CONNECTION))
+            clock.after(send.connect_us, lambda: self.finish(attempt, AttemptOutcome.NO_CONNECTION))
         else:
             attempt.begun = True
             clock.after(self.net.way(here, ip), lambda: self.arrive(attempt, ip, matter))
@@ -162,9 +162,11 @@
         return True
 
     def expire(self, attempt: Attempt) -> None:
-        self.finish(attempt, Seen.SILENT if attempt.begun else Seen.NO_CONNECTION)
+        self.finish(attempt, AttemptOutcome.SILENT if attempt.begun else AttemptOutcome.NO_CONNECTION)
 
-    def finish(self, attempt: Attempt, seen: Seen, got: Got | None = None, prompt: bool = False) -> None:
+    def finish(
+        self, attempt: Attempt, seen: AttemptOutcome, got: ServerResponse | None = None, prompt: bool = False
+    ) -> None:
         def tell() -> None:
             if self.close_off(attempt):
                 attempt.report(attempt.send.number, seen, prompt, got)
@@ -172,7 +174,12 @@
         self.loop.call_soon(tell)
 
     def back(
-        self, attempt: Attempt, ip: str, seen: Seen, got: Got | None = None, prompt: bool = False
+        self,
+        attempt: Attempt,
+        ip: str,
+        seen: AttemptOutcome,
+        got: ServerResponse | None = None,
+        prompt: bool = False,
     ) -> None:
         """What the server sends arrives after the delay of the path; a cut drops it."""
         way = self.net.way(ip, self.loop.ip)
@@ -183,14 +190,14 @@
 
         self.net.clock.after(way, come)
 
-    def arrive(self, attempt: Attempt, ip: str, matter: Matter) -> None:
+    def arrive(self, attempt: Attempt, ip: str, matter: RequestSpec) -> None:
         servers, judge = self.servers, self.servers.judge
         server = servers.at_address.get(ip)
         if server is None:
-            self.back(attempt, ip, Seen.NO_CONNECTION)
+            self.back(attempt, ip, AttemptOutcome.NO_CONNECTION)
             return
         if server.instance != attempt.send.server.instance:
-            self.back(attempt, ip, Seen.MISDIRECTED)
+            self.back(attempt, ip, AttemptOutcome.MISDIRECTED)
             return
         judge.at = servers.now()
         id = matter.id.decode()
@@ -200,10 +207,10 @@
         rng = self.net.clock.rng
         mood = rng.choice(servers.moods) if rng.random() < servers.bad else ""
         if server.at_work >= server.capacity + QUEUE:
-            self.back(attempt, ip, Seen.NOT_EXECUTED)
+            self.back(attempt, ip, AttemptOutcome.NOT_EXECUTED)
             return
         if mood == "refuse":
-            self.back(attempt, ip, Seen.RESET, prompt=True)
+            self.back(attempt, ip, AttemptOutcome.RESET, prompt=True)
             return
         judge.runs_at(asked, place)
         server.at_work += 1
@@ -214,15 +221,15 @@
         if mood == "silent":
             return
         if mood in ("reset", "cut"):
-            self.back(attempt, server.ip, Seen.RESET if mood == "reset" else Seen.GARBLED)
+            self.back(attempt, server.ip, AttemptOutcome.RESET if mood == "reset" else AttemptOutcome.GARBLED)
         elif mood == "error":
-            self.back(attempt, server.ip, Seen.SERVER_ERROR, self.answer(id, 500))
+            self.back(attempt, server.ip, AttemptOutcome.SERVER_ERROR, self.answer(id, 500))
         else:
-            self.back(attempt, server.ip, Seen.ANSWERED, self.answer(id, 200))
+            self.back(attempt, server.ip, AttemptOutcome.ANSWERED, self.answer(id, 200))
 
-    def answer(self, id: str, status: int) -> Got:
+    def answer(self, id: str, status: int) -> ServerResponse:
         """Each has a body of its own, by which the judge knows it again."""
         answers = self.servers.judge.answers
         body = f"answer {len(answers) + 1}".encode()
         answers[body] = id, status
-        return Got(status, "", [], body, len(body))
+        return ServerResponse(status, "", [], body, len(body))
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -26,13 +26,14 @@
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import LogEvent
 from vetchusher.node import api_calls
-from vetchusher.node.attempts import Got, Matter
+from vetchusher.node.attempts import RequestSpec, ServerResponse
 from vetchusher.node.context import NodeContext
 from vetchusher.node.control_node import ControlNode
 from vetchusher.node.edge_node import EdgeNode
 from vetchusher.node.peer_network import PeerNetwork
-from vetchusher.node.proxy import Flow
-from vetchusher.routing.request import Head, judge
+from vetchusher.node.proxy import ProxiedRequest
+from vetchusher.routing.actions import RequestHead
+from vetchusher.routing.admission import admit_request
 from vetchusher.settings.node import Bounds, Listen, NodeSettings
 
 from .judge import Asked, Calm, Judge, Version
@@ -289,8 +290,8 @@
             part.leader_roles.server_list_poller.client = Listing(self.servers)
         else:
             part = EdgeNode(NodeContext(loop, node, paths, rng, now, self.note))
-            part.proxy.tries.session.detach()
-            part.proxy.tries = cast(Any, AttemptsStandIn(loop, self.servers))
+            part.proxy.attempts.session.detach()
+            part.proxy.attempts = cast(Any, AttemptsStandIn(loop, self.servers))
         machine.part = part
         loop.create_task(paths.open())
         loop.create_task(part.run())
@@ -426,17 +427,17 @@
             ("Authorization", f"Bearer key-{asked.tenant}"),
         ]
         front = part.proxy
-        judged = judge(front.ground, Head("POST", asked.target, headers, front.now()))
+        judged = admit_request(front.context, RequestHead("POST", asked.target, headers, front.now()))
         if isinstance(judged, Failure):
             self.answered(asked, judged.failure().status, then)
             return
         way = judged.unwrap()
-        flow = Flow(front, way, Matter("POST", asked.target, [], asked.id.encode()))
+        flow = ProxiedRequest(front, way, RequestSpec("POST", asked.target, [], asked.id.encode()))
 
         async def serve() -> None:
             flow.start()
             answer = await flow.answer
-            if isinstance(answer, Got):
+            if isinstance(answer, ServerResponse):
                 assert isinstance(answer.body, bytes)
                 self.judge.delivered(asked, answer.status, answer.body)
             self.answered(asked, answer.status, then)
--- a/vetchusher/node/attempts.py
+++ b/vetchusher/node/attempts.py
@@ -17,29 +17,29 @@
 
 from vetchusher.net.links import Link, Links, NeverSent, Streamed, Ways, open_session, sending, target_url
 from vetchusher.net.plain import MOST_BODY
-from vetchusher.routing.claims import Seen, seen_of
-from vetchusher.routing.headers import ATTEMPT_ID, NOT_EXECUTED, SEAL, Headers, passed_back
-from vetchusher.routing.request import Send
+from vetchusher.routing.actions import SendAttempt
+from vetchusher.routing.claims import AttemptOutcome, outcome_of
+from vetchusher.routing.headers import ATTEMPT_ID, NOT_EXECUTED, SEAL, Headers, response_headers
 
-from .trust import Trusts
+from .trust import TrustByService
 
 log = logging.getLogger("vetchusher")
 
-IDLE_US = (
+MAX_IDLE_US = (
     30_000_000  # kept this long at most; what a server says of itself, and what was learned, are shorter
 )
-STATED_PART = 0.8  # of the idle time that a server states: a request written near its end would be lost
-UNSTATED_S = 0.5  # a server that states none keeps idle connections for less than a second
+STATED_IDLE_RATIO = 0.8  # of the idle time that a server states: a request written near its end would be lost
+DEFAULT_IDLE_S = 0.5  # a server that states none keeps idle connections for less than a second
 # What may run once only goes on a connection that was idle for a small part of the time for which idle ones
 # live, as the server states it and as resets have shown it; for less than TRUSTED_S on any.
-TRUSTED_PART, TRUSTED_S = 0.3, 0.25
-PROMPT_US = 250_000  # a reset before any byte of an answer and within this time: the server was full
-STALL_S = 0.03  # a timer that fires so much too late tells of a stall of this process
+TRUSTED_IDLE_RATIO, MAX_TRUSTED_IDLE_S = 0.3, 0.25
+IMMEDIATE_RESET_US = 250_000  # a reset before any byte of an answer and within this time: the server was full
+LOOP_STALL_S = 0.03  # a timer that fires so much too late tells of a stall of this process
 USER_TIMEOUT_MS = 2_500  # unacknowledged bytes: the path is gone (a server at work acknowledges them)
-WHOLE_BODY = 256 * 1024  # from here on a body is written in the pieces in which it came
+MAX_JOINED_BODY_BYTES = 256 * 1024  # from here on a body is written in the pieces in which it came
 
 _ATTEMPT = re.compile(
-    # Danger: a line's end is also the beginning of the next: taken along, it would hide a second id.
+    # Safety: a line's end is also the beginning of the next: taken along, it would hide a second id.
     rb"\r\n" + ATTEMPT_ID.lower().encode() + rb":[ \t]*([^\r\n]*?)[ \t]*(?=\r\n)",
     re.IGNORECASE,
 )
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Matter:
+class RequestSpec:
     """What of a request passes on unchanged, besides its headers."""
 
     method: str
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Got:
+class ServerResponse:
     """A server's answer that may be passed on.
 
     :param body: held whole, or to be passed on as it comes
@@ -71,10 +71,10 @@
     length: int | None
 
 
-Report = Callable[[int, Seen, bool, Got | None], None]
+AttemptReport = Callable[[int, AttemptOutcome, bool, ServerResponse | None], None]
 
 
-class Pieces(Payload):
+class ChunkedPayload(Payload):
     """A long body, written in the pieces in which it came."""
 
     def __init__(self, pieces: list[bytes]) -> None:
@@ -91,63 +91,65 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    send: Send
-    matter: Matter
-    report: Report
+    send: SendAttempt
+    spec: RequestSpec
+    report: AttemptReport
     sent_at: float = 0.0
     task: asyncio.Task[None] | None = None
     expiry: asyncio.TimerHandle | None = None
     connecting: asyncio.TimerHandle | None = None
     begun: bool = False
     link: Link | None = None
-    marked: bool = False  # its answer bears its id
-    heard: bool = False  # a piece of its answer has come
-    over: bool = False
+    response_has_id: bool = False  # its answer bears its id
+    response_began: bool = False  # a piece of its answer has come
+    is_over: bool = False
 
     @property
     def holder(self) -> object:
         return self.send.server.instance
 
     def answering(self) -> None:
-        self.heard = True
+        self.response_began = True
 
 
-def owns(attempt: Attempt, head: bytes) -> bool:
+def response_belongs_to(attempt: Attempt, head: bytes) -> bool:
     """Whether the answer is that attempt's.  One without an id may be: `seen_of` weighs what it claims."""
     found = _ATTEMPT.findall(head)
-    if found and set(found) != {attempt.matter.id}:
+    if found and set(found) != {attempt.spec.id}:
         return False
-    attempt.marked = bool(found)
+    attempt.response_has_id = bool(found)
     return True
 
 
-def unwritten(attempt: Attempt, err: NeverSent) -> Seen:
+def outcome_of_lost_connection(attempt: Attempt, err: NeverSent) -> AttemptOutcome:
     """What shows of a connection that was lost before the request's last byte was written.
 
-    Danger: a server that has begun to answer has begun to work as well, on whatever of the body it had.
+    Safety: a server that has begun to answer has begun to work as well, on whatever of the body it had.
     """
-    answered = attempt.heard or isinstance(err.__cause__, aiohttp.ClientResponseError)
-    return Seen.GARBLED if answered else Seen.NOT_WRITTEN
+    answered = attempt.response_began or isinstance(err.__cause__, aiohttp.ClientResponseError)
+    return AttemptOutcome.GARBLED if answered else AttemptOutcome.NOT_WRITTEN
 
 
 def has_no_body(attempt: Attempt, status: bytes) -> bool:
-    return status in (b"204", b"304") or attempt.matter.method == "HEAD"
+    return status in (b"204", b"304") or attempt.spec.method == "HEAD"
 
 
-def fits(attempt: Attempt, link: Link, idle: float) -> bool:
-    if not attempt.send.trusted or idle <= TRUSTED_S:
+def is_connection_usable(attempt: Attempt, link: Link, idle: float) -> bool:
+    if not attempt.send.trusted or idle <= MAX_TRUSTED_IDLE_S:
         return True
-    return idle <= TRUSTED_PART * min(link.trust.span(asyncio.get_running_loop().time()), link.idle_most)
+    return idle <= TRUSTED_IDLE_RATIO * min(
+        link.trust.span(asyncio.get_running_loop().time()), link.idle_most
+    )
 
 
 def new_socket(addr: Any) -> socket.socket:
-    """Danger: behind a cut nothing answers, and what was written would wait for minutes."""
+    """Safety: behind a cut nothing answers, and what was written would wait for minutes."""
     made = socket.socket(addr[0], addr[1], addr[2])
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return made
 
 
-class Attempts:
+class ServerAttempts:
     """:param keeps: whether a server is still on the list: connections to the others are not kept"""
 
     def __init__(
@@ -155,21 +157,27 @@
     ) -> None:
         self.loop = loop
         self.attempts: set[Attempt] = set()
-        self.trusts = Trusts(IDLE_US / 1e6)
-        ways = Ways(own=owns, bodiless=has_no_body, fits=fits, opened=new_socket, trust=self.trusts.of)
-        self.session = open_session(connections, IDLE_US, None, keeps, ways)
+        self.trust = TrustByService(MAX_IDLE_US / 1e6)
+        ways = Ways(
+            own=response_belongs_to,
+            bodiless=has_no_body,
+            fits=is_connection_usable,
+            opened=new_socket,
+            trust=self.trust.of,
+        )
+        self.session = open_session(connections, MAX_IDLE_US, None, keeps, ways)
 
     def servers_changed(self, services: Collection[str]) -> None:
-        """Danger: a connection to one that is gone may lead to whoever has its address now.
+        """Safety: a connection to one that is gone may lead to whoever has its address now.
 
         :param services: that servers on the list offer
         """
-        self.trusts.keep(services)
+        self.trust.keep(services)
         connector = self.session.connector
         assert isinstance(connector, Links)
         connector.drop_stale()
 
-    def start(self, send: Send, matter: Matter, report: Report) -> Attempt:
+    def start(self, send: SendAttempt, matter: RequestSpec, report: AttemptReport) -> Attempt:
         attempt = Attempt(send, matter, report, self.loop.time())
         self.attempts.add(attempt)
         attempt.task = self.loop.create_task(self.run(attempt))
@@ -181,52 +189,54 @@
     def unconnected(self, attempt: Attempt, due: float) -> None:
         """Give up an attempt whose connection is not up in time.
 
-        Danger: after a stall of this process its timers run before its sockets are looked at, and servers
+        Safety: after a stall of this process its timers run before its sockets are looked at, and servers
         would be blamed for it.
         """
         now = self.loop.time()
-        if now > due + STALL_S:
-            attempt.connecting = self.loop.call_at(now + STALL_S, self.unconnected, attempt, now + STALL_S)
+        if now > due + LOOP_STALL_S:
+            attempt.connecting = self.loop.call_at(
+                now + LOOP_STALL_S, self.unconnected, attempt, now + LOOP_STALL_S
+            )
         elif not attempt.begun:
-            self.finish(attempt, Seen.NO_CONNECTION)
+            self.finish(attempt, AttemptOutcome.NO_CONNECTION)
 
     def expire(self, attempt: Attempt) -> None:
-        # Danger: what the closing socket still holds may be sent yet, so a request that was only partly
+        # Safety: what the closing socket still holds may be sent yet, so a request that was only partly
         # written when its time was over may run all the same.
-        self.finish(attempt, Seen.SILENT if attempt.begun else Seen.NO_CONNECTION)
+        self.finish(attempt, AttemptOutcome.SILENT if attempt.begun else AttemptOutcome.NO_CONNECTION)
 
     def cancel(self, attempt: Attempt) -> None:
         """End it without a report."""
-        if self.close_off(attempt) and attempt.task is not None:
+        if self.disconnect(attempt) and attempt.task is not None:
             attempt.task.cancel()
 
-    def close_off(self, attempt: Attempt) -> bool:
-        if attempt.over:
+    def disconnect(self, attempt: Attempt) -> bool:
+        if attempt.is_over:
             return False
-        attempt.over = True
+        attempt.is_over = True
         self.attempts.discard(attempt)
         for timer in (attempt.expiry, attempt.connecting):
             if timer is not None:
                 timer.cancel()
         return True
 
-    def finish(self, attempt: Attempt, seen: Seen, got: Got | None = None) -> None:
+    def finish(self, attempt: Attempt, seen: AttemptOutcome, got: ServerResponse | None = None) -> None:
         """The one place where an attempt ends.  Cancelling its task closes a connection still in use."""
-        if not self.close_off(attempt):
+        if not self.disconnect(attempt):
             if got is not None and isinstance(got.body, Streamed):
                 got.body.close()
             return
         if attempt.task is not None and attempt.task is not asyncio.current_task():
             attempt.task.cancel()
-        soon = self.loop.time() - attempt.sent_at < PROMPT_US / 1e6
-        prompt = seen is Seen.RESET and soon and not attempt.heard
+        soon = self.loop.time() - attempt.sent_at < IMMEDIATE_RESET_US / 1e6
+        prompt = seen is AttemptOutcome.RESET and soon and not attempt.response_began
         attempt.report(attempt.send.number, seen, prompt, got)
 
     async def run(self, attempt: Attempt) -> None:
-        send, matter = attempt.send, attempt.matter
+        send, matter = attempt.send, attempt.spec
         sending.set(attempt)
         response: aiohttp.ClientResponse | None = None
-        got: Got | None = None
+        got: ServerResponse | None = None
         try:
             response = await self.session.request(
                 matter.method,
@@ -235,45 +245,47 @@
                 data=body_of(matter.body),
                 allow_redirects=False,
             )
-            seen, got = await self.take(attempt, response)
+            seen, got = await self.read_response(attempt, response)
         except aiohttp.ClientConnectorError:
-            seen = Seen.NO_CONNECTION
+            seen = AttemptOutcome.NO_CONNECTION
         except NeverSent as err:
-            seen = unwritten(attempt, err)
+            seen = outcome_of_lost_connection(attempt, err)
         except aiohttp.ClientResponseError:
-            seen = Seen.GARBLED
+            seen = AttemptOutcome.GARBLED
         except (aiohttp.ClientError, OSError):
-            seen = Seen.RESET
+            seen = AttemptOutcome.RESET
         except asyncio.CancelledError:
             if response is not None:
                 response.close()
             raise
         except Exception as err:
             log.warning("attempt failed: %s: %s", type(err).__name__, err)
-            seen = Seen.GARBLED  # it may have run: nothing better is known
+            seen = AttemptOutcome.GARBLED  # it may have run: nothing better is known
         self.finish(attempt, seen, got)
 
-    async def take(self, attempt: Attempt, response: aiohttp.ClientResponse) -> tuple[Seen, Got | None]:
+    async def read_response(
+        self, attempt: Attempt, response: aiohttp.ClientResponse
+    ) -> tuple[AttemptOutcome, ServerResponse | None]:
         """Read an answer as far as it is held, and say what it shows."""
-        attempt.heard = True
+        attempt.response_began = True
         link, headers = attempt.link, response.headers
         first_call = link is not None and link.calls == 1
         if link is not None:
-            link.idle_most = idle_most(headers.get("Keep-Alive"))
-            if attempt.matter.method == "HEAD":
-                link.force_close()  # Danger: a second copy of its answer could not be passed over
+            link.idle_most = max_idle_s(headers.get("Keep-Alive"))
+            if attempt.spec.method == "HEAD":
+                link.force_close()  # Safety: a second copy of its answer could not be passed over
         good = 200 <= response.status < 300
-        ours = attempt.marked or (first_call and not good)
-        seen = seen_of(response.status, NOT_EXECUTED in headers, ours, SEAL in headers)
+        ours = attempt.response_has_id or (first_call and not good)
+        seen = outcome_of(response.status, NOT_EXECUTED in headers, ours, SEAL in headers)
         body = await read(attempt, response)
         if body is None:
-            return Seen.GARBLED, None
-        if seen not in (Seen.ANSWERED, Seen.SERVER_ERROR):
+            return AttemptOutcome.GARBLED, None
+        if seen not in (AttemptOutcome.ANSWERED, AttemptOutcome.SERVER_ERROR):
             if isinstance(body, Streamed):
                 body.close()
             return seen, None
-        passed = passed_back(headers.items())
-        got = Got(response.status, response.reason or "", passed, body, response.content_length)
+        passed = response_headers(headers.items())
+        got = ServerResponse(response.status, response.reason or "", passed, body, response.content_length)
         return seen, got
 
     async def close(self) -> None:
@@ -282,18 +294,18 @@
         await self.session.close()
 
 
-def idle_most(keep_alive: str | None) -> float:
+def max_idle_s(keep_alive: str | None) -> float:
     """Seconds for which a connection may stand idle, by what the server says."""
     told = _TIMEOUT.search(keep_alive) if keep_alive else None
-    return int(told[1]) * STATED_PART if told else UNSTATED_S
+    return int(told[1]) * STATED_IDLE_RATIO if told else DEFAULT_IDLE_S
 
 
-def body_of(pieces: list[bytes]) -> bytes | Pieces | None:
+def body_of(pieces: list[bytes]) -> bytes | ChunkedPayload | None:
     if not pieces:
         return None
-    if len(pieces) == 1 and len(pieces[0]) <= WHOLE_BODY:
+    if len(pieces) == 1 and len(pieces[0]) <= MAX_JOINED_BODY_BYTES:
         return pieces[0]
-    return b"".join(pieces) if sum(map(len, pieces)) <= WHOLE_BODY else Pieces(pieces)
+    return b"".join(pieces) if sum(map(len, pieces)) <= MAX_JOINED_BODY_BYTES else ChunkedPayload(pieces)
 
 
 async def read(attempt: Attempt, response: aiohttp.ClientResponse) -> bytes | Streamed | None:
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -7,8 +7,8 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.directory.naming import Entrance, entrances_of, named
-from vetchusher.directory.neighbours import neighbours, places_of
+from vetchusher.directory.naming import Entrance, choose_addresses, entrances_of
+from vetchusher.directory.neighbours import choose_neighbours, decode_locations
 from vetchusher.directory.presence import KEPT_TIMES, TTL_S
 from vetchusher.discovery.reader import KEPT_LEASE_US, read_row
 from vetchusher.discovery.server import Server
@@ -130,10 +130,12 @@
             self.quota.set_ingresses(now, ingresses, self.settings.node_name in self.directory.rows)
             self.retry_budget.set_ingresses(ingresses)
             rows = self.directory.values()
-            places, self.serving_ingresses = places_of(rows), entrances_of(rows)
+            places, self.serving_ingresses = decode_locations(rows), entrances_of(rows)
             near = {name: at.zone for name, at in places.items() if at.region == self.settings.region}
-            self.proxy.ingresses(near)
-            self.subscriber.set_neighbours(neighbours(self.settings.node_name, self.settings.region, places))
+            self.proxy.set_ingresses(near)
+            self.subscriber.set_neighbours(
+                choose_neighbours(self.settings.node_name, self.settings.region, places)
+            )
         if "discovery" in changed:
             self.on_servers(now)
         self.update_freshness(now)
@@ -143,7 +145,7 @@
     def on_configuration(self, now: int) -> None:
         """Apply the configuration of the control source, now or once it is parsed."""
         rows = self.control.values()
-        self.proxy.evacuated(evacuated_of(rows), now)
+        self.proxy.set_evacuated(evacuated_of(rows), now)
         if self.parse_task is None and rows.get(DIGEST) == self.configuration_digest:
             return  # an evacuation; the configuration is the one in force
         if self.parse_task is None and sum(map(len, rows.values())) <= MAX_BYTES_ON_LOOP:
@@ -168,7 +170,7 @@
 
     def update_freshness(self, now: int) -> None:
         """Tell the proxy until when the configuration is known to be in force."""
-        self.proxy.fresh_until(self.subscriber.fresh_until(now) if self.parse_task is None else now - 1)
+        self.proxy.set_fresh_until(self.subscriber.fresh_until(now) if self.parse_task is None else now - 1)
 
     def apply_configuration(self, rows: Mapping[str, bytes], found: Result[Configuration, Error]) -> None:
         """Judge new requests by a configuration if it is newer than the one in use."""
@@ -176,7 +178,7 @@
         match found:
             case Success(configuration) if configuration.version > self.version:
                 self.version, self.configuration_digest = configuration.version, rows.get(DIGEST)
-                self.proxy.configuration(configuration)
+                self.proxy.set_configuration(configuration)
                 self.quota.configure(now, configuration.tenants)
             case Success():
                 pass
@@ -197,7 +199,7 @@
                 case fault:
                     self.log_event(LogEvent(Event.UPDATE_REJECTED, {"why": fault.failure().text}))
         self.servers = known
-        self.proxy.servers([server for _, server in known.values()])
+        self.proxy.set_servers([server for _, server in known.values()])
 
     # -- time ---------------------------------------------------------------------------------
 
@@ -212,7 +214,7 @@
         now = self.now()
         self.perform_subscriber_outputs(self.subscriber.tick(now))
         self.update_freshness(now)
-        self.proxy.choice.kept_until = self.subscriber.primary_contact_at(now) + KEPT_LEASE_US
+        self.proxy.selector.cold_budget_until = self.subscriber.primary_contact_at(now) + KEPT_LEASE_US
         due = self.quota.push_requested or self.loop.time() - self.last_push_at_s >= PUSH_INTERVAL_S
         if due and len(self.push_tasks) < MAX_PUSHES:
             self.last_push_at_s = self.loop.time()
@@ -242,7 +244,7 @@
             for one in self.serving_ingresses
             if not self.is_draining or one.node != self.settings.node_name
         ]
-        fronts = named(others, call.region, call.zone)
+        fronts = choose_addresses(others, call.region, call.zone)
         if not fronts or not self.subscriber.is_in_touch(self.now()):
             return Failure(Error(ErrorCode.UNAVAILABLE, "who serves is not known here"))
         answer = AddressesResolved(tuple(fronts), min(TTL_S, self.settings.bounds.ttl_max_s))
@@ -271,7 +273,7 @@
         """Begin to drain: leave the directory first."""
         self.is_draining, self.draining_since_s = True, self.loop.time()
         self.perform_subscriber_outputs(self.subscriber.heartbeat_all(self.now()))
-        self.proxy.leave()
+        self.proxy.begin_drain()
 
     async def close(self, deadline_s: float) -> None:
         """Drain within the grace, then close."""
--- a/vetchusher/node/peer_network.py
+++ b/vetchusher/node/peer_network.py
@@ -302,7 +302,7 @@
         if not frame.reply:
             self.on_frame(frame, channel)
             return
-        # Danger: numbers begin again with each life of a process.  A connection ends with either of its two,
+        # Safety: numbers begin again with each life of a process.  A connection ends with either of its two,
         # so on the connection on which a question was asked its number stands for that question alone.
         future, way = self.calls.get(frame.call, (None, None))
         if future is not None and way is channel and not future.done():
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -23,25 +23,23 @@
 from vetchusher.net.door import Bounds, ClientLink, Door
 from vetchusher.net.links import Streamed
 from vetchusher.net.plain import seconds_text
-from vetchusher.routing.choice import Choice
-from vetchusher.routing.claims import Seen
-from vetchusher.routing.request import (
-    Act,
-    Answer,
-    AttemptBudget,
-    Cancel,
-    Ground,
-    Head,
-    Refuse,
-    Request,
-    Send,
-    TenantQuotas,
+from vetchusher.routing.actions import (
+    Action,
+    CancelAttempt,
+    ForwardResponse,
+    Reject,
+    RequestHead,
+    SendAttempt,
     WakeAt,
-    judge,
 )
+from vetchusher.routing.admission import admit_request
+from vetchusher.routing.claims import AttemptOutcome
+from vetchusher.routing.context import AttemptBudget, RoutingContext, TenantQuotas
+from vetchusher.routing.request import Request
+from vetchusher.routing.server_selection import ServerSelector
 from vetchusher.settings.configuration import ClientLimits, Configuration
 
-from .attempts import Attempt, Attempts, Got, Matter
+from .attempts import Attempt, RequestSpec, ServerAttempts, ServerResponse
 from .caller_connection import has_hung_up, unread_for_s
 
 log = logging.getLogger("vetchusher")
@@ -56,7 +54,7 @@
 LATE_S = 0.05  # beyond the deadline: what has come by then is still passed on
 
 
-class FrontSettings(Protocol):
+class ProxySettings(Protocol):
     """What the front needs to know of its process."""
 
     @property
@@ -71,8 +69,8 @@
     def file_descriptors(self) -> int: ...
 
 
-class _AsItIs:
-    """Danger: aiohttp puts a date, its own name and a type of content into each answer; what a server sent
+class _UnchangedHeaders:
+    """Safety: aiohttp puts a date, its own name and a type of content into each answer; what a server sent
     goes back as it was."""
 
     async def _prepare_headers(self: Any) -> None:
@@ -82,85 +80,91 @@
             self._headers.pop(name, None)
 
 
-class Held(_AsItIs, web.Response):
+class BufferedResponse(_UnchangedHeaders, web.Response):
     pass
 
 
-class Piped(_AsItIs, web.StreamResponse):
+class StreamedResponse(_UnchangedHeaders, web.StreamResponse):
     pass
 
 
-class Flow:
+class ProxiedRequest:
     """One request's attempts, until its answer stands.  `close` gives back whatever is still held."""
 
-    def __init__(self, front: Proxy, request: Request, matter: Matter) -> None:
-        self.front = front
+    def __init__(self, proxy: Proxy, request: Request, spec: RequestSpec) -> None:
+        self.proxy = proxy
         self.request = request
-        self.matter = matter
+        self.spec = spec
         self.attempts: dict[int, Attempt] = {}
-        self.got: dict[int, Got] = {}
+        self.responses: dict[int, ServerResponse] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.answer: asyncio.Future[Error | Got] = front.loop.create_future()
+        self.answer: asyncio.Future[Error | ServerResponse] = proxy.loop.create_future()
 
     def start(self) -> None:
-        self.do(self.request.start(self.front.now()))
+        self.perform(self.request.start(self.proxy.now()))
 
-    def over(self, number: int, seen: Seen, prompt: bool, got: Got | None) -> None:
+    def on_attempt_report(
+        self, number: int, outcome: AttemptOutcome, reset_at_once: bool, response: ServerResponse | None
+    ) -> None:
         """The report of an attempt."""
-        now = self.front.now()
+        now = self.proxy.now()
         try:
-            if got is not None:
-                self.got[number] = got
-            if got is not None and isinstance(got.body, Streamed):
-                self.do(self.request.streaming(now, number))
+            if response is not None:
+                self.responses[number] = response
+            if response is not None and isinstance(response.body, Streamed):
+                self.perform(self.request.on_response_begun(now, number))
             else:
-                self.do(self.request.ended(now, number, seen, prompt))
+                self.perform(self.request.on_attempt_ended(now, number, outcome, reset_at_once))
         except Exception:  # whatever fails here, the client is owed an answer
             log.exception("a request's next step failed")
-            self.settle(Error(ErrorCode.MAYBE_EXECUTED, "failed"))
-
-    def late(self) -> None:
-        self.do(self.request.late(self.front.now()))
-
-    def do(self, acts: list[Act]) -> None:
-        for act in acts:
-            match act:
-                case Send():
-                    self.attempts[act.number] = self.front.tries.start(act, self.matter, self.over)
-                case Cancel():
-                    self.front.tries.cancel(self.attempts[act.number])
+            self.resolve(Error(ErrorCode.MAYBE_EXECUTED, "failed"))
+
+    def on_late(self) -> None:
+        self.perform(self.request.on_late(self.proxy.now()))
+
+    def perform(self, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case SendAttempt():
+                    self.attempts[action.number] = self.proxy.attempts.start(
+                        action, self.spec, self.on_attempt_report
+                    )
+                case CancelAttempt():
+                    self.proxy.attempts.cancel(self.attempts[action.number])
                 case WakeAt():
-                    self.timer = self.front.loop.call_at(act.at / 1e6, self.late)
-                case Answer():
-                    self.settle(self.got.pop(act.number))
-                case Refuse():
-                    self.settle(act.fault)
-        for note in self.request.notes:
-            self.front.note(note)
-        self.request.notes.clear()
-
-    def settle(self, answer: Error | Got) -> None:
+                    self.timer = self.proxy.loop.call_at(action.at / 1e6, self.on_late)
+                case ForwardResponse():
+                    self.resolve(self.responses.pop(action.number))
+                case Reject():
+                    self.resolve(action.error)
+        for note in self.request.events:
+            self.proxy.log_event(note)
+        self.request.events.clear()
+
+    def resolve(self, answer: Error | ServerResponse) -> None:
         if not self.answer.done():
             self.answer.set_result(answer)
         else:
-            give_back(answer)
+            release(answer)
 
-    def close(self, whole: bool) -> None:
+    def close(self, completed: bool) -> None:
         """:param whole: the answer, if it was streamed, went through to its end"""
-        now, request = self.front.now(), self.request
+        now, request = self.proxy.now(), self.request
         if self.timer is not None:
             self.timer.cancel()
-        if (number := request.answered) is not None:
-            request.ended(now, number, Seen.ANSWERED if whole else Seen.RESET)
-        self.do(request.left(now))
+        if (number := request.forwarded_attempt) is not None:
+            request.on_attempt_ended(
+                now, number, AttemptOutcome.ANSWERED if completed else AttemptOutcome.RESET
+            )
+        self.perform(request.on_client_left(now))
         if self.answer.done() and not self.answer.cancelled():
-            give_back(self.answer.result())
-        for got in self.got.values():
-            give_back(got)
+            release(self.answer.result())
+        for response in self.responses.values():
+            release(response)
 
 
-def give_back(answer: Error | Got) -> None:
-    if isinstance(answer, Got) and isinstance(answer.body, Streamed):
+def release(answer: Error | ServerResponse) -> None:
+    if isinstance(answer, ServerResponse) and isinstance(answer.body, Streamed):
         answer.body.close()
 
 
@@ -173,90 +177,91 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: FrontSettings,
+        settings: ProxySettings,
         rng: random.Random,
         tally: TenantQuotas,
         budget: AttemptBudget,
-        note: Callable[[LogEvent], None],
+        log_event: Callable[[LogEvent], None],
     ) -> None:
         self.loop = loop
-        self.note = note
-        self.choice = Choice(rng, settings.node_name, settings.region, settings.zones)
-        self.ground = Ground(self.choice, tally, budget, rng)
+        self.log_event = log_event
+        self.selector = ServerSelector(rng, settings.node_name, settings.region, settings.zones)
+        self.context = RoutingContext(self.selector, tally, budget, rng)
         self.limits = ClientLimits()
-        self.leaving = False
-        self.most_held = int(settings.memory_mb * 1024 * 1024 * BODIES_PART)
-        self.held = 0  # bytes of all requests' bodies
-        self.ends: Counter[str] = (
+        self.is_draining = False
+        self.max_buffered_bytes = int(settings.memory_mb * 1024 * 1024 * BODIES_PART)
+        self.buffered_bytes = 0  # bytes of all requests' bodies
+        self.drain_deadlines: Counter[str] = (
             Counter()
         )  # of requests, since the last `figures`; as many as there are kinds
         places = max(64, settings.file_descriptors - RESERVED_FILES)
         server = web.Server(self.handle, handler_cancellation=True, request_factory=self.make_request)
-        self.door = Door(loop, server, int(places * CLIENTS_PART), Bounds())
-        self.most_tries = int(places * (1 - CLIENTS_PART))
-        self.tries = Attempts(loop, self.most_tries, self.choice.knows)
+        self.listener = Door(loop, server, int(places * CLIENTS_PART), Bounds())
+        self.max_attempts = int(places * (1 - CLIENTS_PART))
+        self.attempts = ServerAttempts(loop, self.max_attempts, self.selector.is_listed)
         self.bound()
 
     def now(self) -> int:
         return int(self.loop.time() * 1e6)
 
     def open(self, host: str, port: int) -> None:
-        self.door.open(host, port)
+        self.listener.open(host, port)
 
-    def configuration(self, configuration: Configuration) -> None:
+    def set_configuration(self, configuration: Configuration) -> None:
         """A request under way keeps the configuration that it began with."""
-        self.ground.configure(configuration)
+        self.context.configure(configuration)
         self.limits = configuration.limits
         self.bound()
-        self.note(LogEvent(Event.CONFIGURATION_APPLIED, {"version": configuration.version}))
+        self.log_event(LogEvent(Event.CONFIGURATION_APPLIED, {"version": configuration.version}))
 
     def bound(self) -> None:
-        bounds, limits = self.door.bounds, self.limits
+        bounds, limits = self.listener.bounds, self.limits
         bounds.first_s = limits.header_ms / 1e3 + HEADER_SLACK_S
         bounds.idle_s = limits.idle_ms / 1e3 + IDLE_SLACK_S
         bounds.write_s = WRITE_S
         bounds.options = {"max_line_size": limits.header_bytes, "max_field_size": limits.header_bytes}
 
-    def servers(self, servers: list[Server]) -> None:
-        self.choice.servers(servers)
-        self.tries.servers_changed({server.service for server in servers})
+    def set_servers(self, servers: list[Server]) -> None:
+        self.selector.set_servers(servers)
+        self.attempts.servers_changed({server.service for server in servers})
 
-    def ingresses(self, zones: Mapping[str, str]) -> None:
-        self.choice.ingresses(zones)
+    def set_ingresses(self, zones: Mapping[str, str]) -> None:
+        self.selector.set_ingresses(zones)
 
-    def evacuated(self, zones: frozenset[str], now: int) -> None:
-        self.choice.evacuated(zones, now)
+    def set_evacuated(self, zones: frozenset[str], now: int) -> None:
+        self.selector.set_evacuated(zones, now)
 
-    def fresh_until(self, until: int) -> None:
-        self.ground.fresh_until = until
+    def set_fresh_until(self, until: int) -> None:
+        self.context.fresh_until = until
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """From now on every answer closes its connection; new ones are served as before."""
-        self.leaving = True
+        self.is_draining = True
 
     async def close(self, deadline: int) -> None:
         """Take nobody in any more, and end what is open.
 
         :param deadline: us; only then is what servers still work on broken off
         """
-        self.leave()
-        await self.door.close()
-        while self.door.links and self.now() < deadline:
+        self.begin_drain()
+        await self.listener.close()
+        while self.listener.links and self.now() < deadline:
             await asyncio.sleep(0.01)
-            for link in list(self.door.links):
+            for link in list(self.listener.links):
                 if not link.busy:  # it was still taking an answer when the others were closed
                     link.shut()
-        for link in list(self.door.links):
+        for link in list(self.listener.links):
             link.wire.abort()
-        self.door.stop()
-        await self.tries.close()
+        self.listener.stop()
+        await self.attempts.close()
 
     def figures(self) -> LogEvent:
         """How the requests of the last period ended."""
-        facts: dict[str, object] = {name: count for name, count in sorted(self.ends.items())}
-        self.ends.clear()
+        facts: dict[str, object] = {name: count for name, count in sorted(self.drain_deadlines.items())}
+        self.drain_deadlines.clear()
         return LogEvent(
-            Event.REQUEST_FIGURES, facts | {"open": len(self.tries.attempts), "clients": len(self.door.links)}
+            Event.REQUEST_FIGURES,
+            facts | {"open": len(self.attempts.attempts), "clients": len(self.listener.links)},
         )
 
     def make_request(
@@ -271,29 +276,29 @@
             response = await self.respond(request, link)
         finally:
             link.answered()
-        # Danger: after a head that asks for another protocol the reader takes what follows for no request.
-        if self.leaving or "Upgrade" in request.headers:
+        # Safety: after a head that asks for another protocol the reader takes what follows for no request.
+        if self.is_draining or "Upgrade" in request.headers:
             response.force_close()
         return response
 
     async def respond(self, request: web.BaseRequest, link: ClientLink) -> web.StreamResponse:
-        # Danger: to a client of HTTP/1.0 a chunked answer cut short would look whole; after a head that asks
+        # Safety: to a client of HTTP/1.0 a chunked answer cut short would look whole; after a head that asks
         # for another protocol the reader takes the body for that.
         if request.version != HttpVersion11 or ("Upgrade" in request.headers and request.body_exists):
             return self.refuse(
                 request, Error(ErrorCode.MALFORMED_REQUEST, "this protocol is not spoken here")
             )
-        # Danger: in a process that stood still it lay unread, and its client's time went on.
+        # Safety: in a process that stood still it lay unread, and its client's time went on.
         arrived_at = self.now() - int(unread_for_s(link.wire) * 1e6)
-        head = Head(request.method, request.raw_path, list(request.headers.items()), arrived_at)
-        judged = judge(self.ground, head)
+        head = RequestHead(request.method, request.raw_path, list(request.headers.items()), arrived_at)
+        judged = admit_request(self.context, head)
         if isinstance(judged, Failure):
             return self.refuse(request, judged.failure())
         way = judged.unwrap()
         body: list[bytes] = []
         try:
-            if len(self.tries.attempts) >= self.most_tries:
-                # Danger: waiting for a connection here would look like servers that let nobody connect.
+            if len(self.attempts.attempts) >= self.max_attempts:
+                # Safety: waiting for a connection here would look like servers that let nobody connect.
                 return self.refuse(
                     request, Error(ErrorCode.NO_SERVER_AVAILABLE, "no connection is free", BUSY_AGAIN_US)
                 )
@@ -303,42 +308,47 @@
                 return self.refuse(request, Error(ErrorCode.NOT_EXECUTED, "its client has left"))
             return await self.serve(request, link, way, body)
         finally:
-            self.held -= sum(map(len, body))
+            self.buffered_bytes -= sum(map(len, body))
 
     async def serve(
         self, request: web.BaseRequest, link: ClientLink, way: Request, body: list[bytes]
     ) -> web.StreamResponse:
-        flow = Flow(self, way, Matter(request.method, request.raw_path, body, way.id.encode()))
+        flow = ProxiedRequest(self, way, RequestSpec(request.method, request.raw_path, body, way.id.encode()))
         whole = False
         try:
             flow.start()
             answer = await flow.answer
             if isinstance(answer, Error):
                 return self.refuse(request, answer)
-            self.ends[f"{answer.status // 100}xx"] += 1
+            self.drain_deadlines[f"{answer.status // 100}xx"] += 1
             headers = CIMultiDict(answer.headers)
             if not isinstance(answer.body, Streamed):
                 if not answer.body and answer.length and request.method == "HEAD":
                     headers["Content-Length"] = str(answer.length)
-                return Held(
+                return BufferedResponse(
                     status=answer.status, reason=answer.reason, headers=headers, body=answer.body or None
                 )
-            out = Piped(status=answer.status, reason=answer.reason, headers=headers)
+            out = StreamedResponse(status=answer.status, reason=answer.reason, headers=headers)
             whole = await self.pipe(request, link, out, answer.body, way.deadline)
             return out
         finally:
             flow.close(whole)
 
     async def pipe(
-        self, request: web.BaseRequest, link: ClientLink, out: Piped, answer: Streamed, deadline: int
+        self,
+        request: web.BaseRequest,
+        link: ClientLink,
+        out: StreamedResponse,
+        answer: Streamed,
+        deadline: int,
     ) -> bool:
         """Pass a long answer on as it comes, in bounded memory: the client's reading paces the server's.
 
-        Danger: an answer cut short must show as such; the connection is broken off before its stated length,
+        Safety: an answer cut short must show as such; the connection is broken off before its stated length,
         or before the chunk that would end it.
         """
         out.content_length = answer.response.content_length
-        if self.leaving:
+        if self.is_draining:
             out.force_close()
         try:
             async with asyncio.timeout_at(deadline / 1e6 + LATE_S):
@@ -360,7 +370,7 @@
         stated = request.content_length or 0
         if stated > self.limits.body_bytes:
             return Error(ErrorCode.BODY_TOO_LARGE, "the body is too long")
-        if self.held + stated > self.most_held:
+        if self.buffered_bytes + stated > self.max_buffered_bytes:
             return Error(ErrorCode.NO_SERVER_AVAILABLE, "too many bodies are held", BUSY_AGAIN_US)
         if request.headers.get("Expect", "").lower() == "100-continue":
             link.wire.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -370,10 +380,10 @@
                 while piece := await request.content.readany():
                     body.append(piece)
                     size += len(piece)
-                    self.held += len(piece)
+                    self.buffered_bytes += len(piece)
                     if size > self.limits.body_bytes:
                         return Error(ErrorCode.BODY_TOO_LARGE, "the body is too long")
-                    if self.held > self.most_held:
+                    if self.buffered_bytes > self.max_buffered_bytes:
                         return Error(ErrorCode.NO_SERVER_AVAILABLE, "too many bodies are held", BUSY_AGAIN_US)
         except TimeoutError:
             return Error(ErrorCode.CLIENT_TIMEOUT, "the body did not come in time")
@@ -382,7 +392,7 @@
         return None
 
     def refuse(self, request: web.BaseRequest, fault: Error) -> web.StreamResponse:
-        self.ends[fault.code.value] += 1
+        self.drain_deadlines[fault.code.value] += 1
         headers = {"Retry-After": seconds_text(fault.retry_after_us)} if fault.retry_after_us else None
         response = web.Response(status=fault.status, text=fault.text, headers=headers)
         if (
--- a/vetchusher/node/server_list_client.py
+++ b/vetchusher/node/server_list_client.py
@@ -85,7 +85,7 @@
         if self.platform is None:
             return Failure(Error(ErrorCode.INVALID_SETTINGS, "the settings name no list of servers"))
         if self.session is None:
-            # Danger: pages bear no id.  On a connection that has given a byte too many, the end of one read
+            # Safety: pages bear no id.  On a connection that has given a byte too many, the end of one read
             # would be taken for the whole of the next.
             self.session = open_session(MAX_CONNECTIONS, MAX_IDLE_US, None, self.keeps_idle_connections)
         host, port = self.platform.address
--- a/vetchusher/node/trust.py
+++ b/vetchusher/node/trust.py
@@ -11,8 +11,8 @@
 UNLUCKY_S = 10.0  # for so long after a connection that was alive was reset, resets say nothing of idle ones
 
 
-class Learnt(Trust):
-    """Danger: a server may reset a connection for other reasons than its rest, and run the request at that.
+class ConnectionTrust(Trust):
+    """Safety: a server may reset a connection for other reasons than its rest, and run the request at that.
     Taken for a lesson, each of those would have connections closed that are well, for many seconds."""
 
     def __init__(self, most: float) -> None:
@@ -37,7 +37,7 @@
                 self.limit, self.at = limit, at
 
 
-class Trusts:
+class TrustByService:
     """Owner of one for each service that servers on the list offer: `keep` drops the others.
 
     :param most: seconds for which an idle connection is kept at most
@@ -45,11 +45,11 @@
 
     def __init__(self, most: float) -> None:
         self.most = most
-        self.services: dict[str, Learnt] = {}
+        self.services: dict[str, ConnectionTrust] = {}
 
     def of(self, attempt: Any) -> Trust:
         service = attempt.send.server.service
-        return self.services.get(service) or self.services.setdefault(service, Learnt(self.most))
+        return self.services.get(service) or self.services.setdefault(service, ConnectionTrust(self.most))
 
     def keep(self, services: Collection[str]) -> None:
         self.services = {name: trust for name, trust in self.services.items() if name in services}
--- a/vetchusher/quota/coordinator.py
+++ b/vetchusher/quota/coordinator.py
@@ -158,10 +158,10 @@
             if told or now - self.began_at >= COMPLETE_AFTER_US:
                 self.is_complete = True
                 for quota in self.tenants.values():
-                    # Danger: what the unheard passed before is not known either.
+                    # Safety: what the unheard passed before is not known either.
                     self.refill(now, quota)
                     quota.available -= quota.shape.depth * unheard / self.ingresses
-                    # Danger: two windows do not tell all that was given out ahead.
+                    # Safety: two windows do not tell all that was given out ahead.
                     left = max(quota.reported_deficit, -quota.shape.advance) + quota.shape.gained(
                         now - quota.reported_deficit_at
                     )
@@ -187,7 +187,7 @@
         quota.granted -= grant.remaining()
         grant.expires_at = NEVER
         if now - peer.last_contact_at > SILENCE_TIMEOUT_US or peer is not self.peers[peer.node][-1]:
-            # Danger: whoever says nothing, or was killed, may have passed all that it had been given.
+            # Safety: whoever says nothing, or was killed, may have passed all that it had been given.
             quota.available -= grant.remaining()
             grant.count = max(grant.count, grant.limit)
 
@@ -294,7 +294,7 @@
         else:
             new = max(0, passed.count - grant.count)
             if told:
-                # Danger: a tenant that left the configuration and came back counts on from a higher place.
+                # Safety: a tenant that left the configuration and came back counts on from a higher place.
                 new = min(new, told)
         if grant is None:
             grant = peer.grants[passed.tenant] = QuotaGrant(passed.count, 0, recent_use_at=now)
@@ -320,7 +320,7 @@
         self.refill(now, quota)
         kept = reserved_requests(quota.shape, self.ingresses)
         if quota.is_exhausted:
-            # Danger: ingresses with a ceiling of nothing have their reserves again when it ends.
+            # Safety: ingresses with a ceiling of nothing have their reserves again when it ends.
             kept += max(
                 0.0, quota.granted - quota.active_grants * first_allowance(quota.shape, self.ingresses)
             )
@@ -329,7 +329,7 @@
         if quota.is_exhausted and not was:
             quota.exhausted_at = now
             if is_low_quota(quota.shape, self.ingresses):
-                # Danger: not all first allowances are reserved: ingresses must be told before they use them.
+                # Safety: not all first allowances are reserved: ingresses must be told before they use them.
                 self.pending_alarms.append(name)
         return quota.is_exhausted
 
@@ -379,14 +379,14 @@
         kept = reserved_requests(quota.shape, self.ingresses) / self.ingresses
         free = self.unreserved(quota) + (grant.remaining() if grant.expires_at > NEVER else kept)
         if not asked:
-            # Danger: a tenant of few requests comes now here, now there.
+            # Safety: a tenant of few requests comes now here, now there.
             return int(grant.has_report and free >= 1.0 + grant.remaining())
         base = 0.0 if quota.is_exhausted else kept
         divided = quota.available + quota.shape.advance - base * self.ingresses
         mine = decayed(grant.recent_use, now - grant.recent_use_at)
         share = mine / max(1e-9, decayed(quota.recent_use, now - quota.recent_use_at))
         share = (1.0 - EVEN_RATIO) * min(1.0, share) + EVEN_RATIO / max(1, quota.active_grants)
-        # Danger: what lies unused at one ingress is missing where the next request comes.
+        # Safety: what lies unused at one ingress is missing where the next request comes.
         may = min(free, base + min(share * max(0.0, divided), MIN_NEED_REQUESTS + NEED_RATIO * mine))
         if not quota.is_exhausted:
             return int(max(may, first_allowance(quota.shape, self.ingresses)))
--- a/vetchusher/quota/local_quota.py
+++ b/vetchusher/quota/local_quota.py
@@ -129,7 +129,7 @@
                 continue
             usage = previous.get(name)
             if usage is None:
-                # Danger: a tenant that comes back must not count from below what the holder has heard.
+                # Safety: a tenant that comes back must not count from below what the holder has heard.
                 usage = TenantUsage(
                     shape,
                     self.admitted_count,
@@ -227,7 +227,7 @@
                     now,
                 )
             return
-        # Danger: cut off from the totals, all ingresses together must stay within the quota.
+        # Safety: cut off from the totals, all ingresses together must stay within the quota.
         share = disconnected_share(usage.shape, self.ingresses)
         grown = usage.shape.gained(now - max(usage.share_grown_at, usage.grant_expires_at)) / max(
             1, self.ingresses
--- a/vetchusher/routing/claims.py
+++ b/vetchusher/routing/claims.py
@@ -12,7 +12,7 @@
 from vetchusher.errors import ErrorCode
 
 
-class Seen(StrEnum):
+class AttemptOutcome(StrEnum):
     NO_CONNECTION = "no_connection"  # refused, or not up in time
     NOT_WRITTEN = "not_written"  # lost before the request's last byte was written
     NOT_EXECUTED = "not_executed"  # the server says so
@@ -31,68 +31,68 @@
     RAN = "ran"
 
 
-CLAIM: dict[Seen, Claim] = {
-    Seen.NO_CONNECTION: Claim.NEVER_RAN,
-    Seen.NOT_WRITTEN: Claim.NEVER_RAN,
-    Seen.NOT_EXECUTED: Claim.NEVER_RAN,
-    Seen.MISDIRECTED: Claim.NEVER_RAN,
-    Seen.ANSWERED: Claim.RAN,
-    Seen.SERVER_ERROR: Claim.RAN,
-    Seen.RESET: Claim.MAY_HAVE_RUN,
-    Seen.SILENT: Claim.MAY_HAVE_RUN,
-    Seen.GARBLED: Claim.MAY_HAVE_RUN,
-    Seen.CANCELLED: Claim.MAY_HAVE_RUN,
+CLAIM_OF: dict[AttemptOutcome, Claim] = {
+    AttemptOutcome.NO_CONNECTION: Claim.NEVER_RAN,
+    AttemptOutcome.NOT_WRITTEN: Claim.NEVER_RAN,
+    AttemptOutcome.NOT_EXECUTED: Claim.NEVER_RAN,
+    AttemptOutcome.MISDIRECTED: Claim.NEVER_RAN,
+    AttemptOutcome.ANSWERED: Claim.RAN,
+    AttemptOutcome.SERVER_ERROR: Claim.RAN,
+    AttemptOutcome.RESET: Claim.MAY_HAVE_RUN,
+    AttemptOutcome.SILENT: Claim.MAY_HAVE_RUN,
+    AttemptOutcome.GARBLED: Claim.MAY_HAVE_RUN,
+    AttemptOutcome.CANCELLED: Claim.MAY_HAVE_RUN,
 }
 
 # Whether what was seen has reached the server as a request, so that a next one counts as an extra try.
-ARRIVED = frozenset(Seen) - {Seen.NO_CONNECTION, Seen.NOT_WRITTEN}
+DELIVERED = frozenset(AttemptOutcome) - {AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_WRITTEN}
 
 
 @dataclass(slots=True, frozen=True)
-class Next:
+class NextStep:
     """:param again: another server may be tried
     :param otherwise: how it ends if that is not done; nothing: with the server's answer
     """
 
-    again: bool
+    may_retry: bool
     otherwise: ErrorCode | None
 
 
 _REFUSE, _FAIL, _ANSWER = ErrorCode.NOT_EXECUTED, ErrorCode.MAYBE_EXECUTED, None
 # by claim, whether the answer is a failure, and whether the request is repeatable
-NEXT: dict[tuple[Claim, bool, bool], Next] = {
-    (Claim.NEVER_RAN, True, True): Next(True, _REFUSE),
-    (Claim.NEVER_RAN, True, False): Next(True, _REFUSE),
-    (Claim.MAY_HAVE_RUN, True, True): Next(True, _FAIL),
-    (Claim.MAY_HAVE_RUN, True, False): Next(False, _FAIL),
-    (Claim.RAN, True, True): Next(True, _ANSWER),
-    (Claim.RAN, True, False): Next(False, _ANSWER),
-    (Claim.RAN, False, True): Next(False, _ANSWER),
-    (Claim.RAN, False, False): Next(False, _ANSWER),
+NEXT: dict[tuple[Claim, bool, bool], NextStep] = {
+    (Claim.NEVER_RAN, True, True): NextStep(True, _REFUSE),
+    (Claim.NEVER_RAN, True, False): NextStep(True, _REFUSE),
+    (Claim.MAY_HAVE_RUN, True, True): NextStep(True, _FAIL),
+    (Claim.MAY_HAVE_RUN, True, False): NextStep(False, _FAIL),
+    (Claim.RAN, True, True): NextStep(True, _ANSWER),
+    (Claim.RAN, True, False): NextStep(False, _ANSWER),
+    (Claim.RAN, False, True): NextStep(False, _ANSWER),
+    (Claim.RAN, False, False): NextStep(False, _ANSWER),
 }
 
 # A client takes these for "not run, and never will be": a server's own is passed on only where it is true.
 PROMISES = frozenset({408, 421, 429, 503})
 
 
-def what_next(seen: Seen, repeatable: bool) -> Next:
-    return NEXT[CLAIM[seen], seen is not Seen.ANSWERED, repeatable]
+def next_step(outcome: AttemptOutcome, repeatable: bool) -> NextStep:
+    return NEXT[CLAIM_OF[outcome], outcome is not AttemptOutcome.ANSWERED, repeatable]
 
 
-def seen_of(status: int, not_executed: bool, ours: bool, sealed: bool) -> Seen:
+def outcome_of(status: int, not_executed: bool, ours: bool, sealed: bool) -> AttemptOutcome:
     """What a whole answer shows.
 
     :param ours: it bears our attempt's id, or none and nothing else was ever asked on its connection
     :param sealed: it bears the server's stamp
     """
     if not ours:
-        return Seen.GARBLED
+        return AttemptOutcome.GARBLED
     if status == 421:
-        return Seen.MISDIRECTED
+        return AttemptOutcome.MISDIRECTED
     if not_executed:
-        return Seen.NOT_EXECUTED
-    # Danger: passed on, a promise that the server did not mark would promise what nobody knows; a good
+        return AttemptOutcome.NOT_EXECUTED
+    # Safety: passed on, a promise that the server did not mark would promise what nobody knows; a good
     # answer without the stamp is no server's; nobody asked for another protocol.
     if status < 200 or status in PROMISES or (200 <= status < 300 and not sealed):
-        return Seen.GARBLED
-    return Seen.SERVER_ERROR if status >= 500 else Seen.ANSWERED
+        return AttemptOutcome.GARBLED
+    return AttemptOutcome.SERVER_ERROR if status >= 500 else AttemptOutcome.ANSWERED
--- /dev/null
+++ b/vetchusher/routing/context.py
@@ -0,0 +1,73 @@
+"""What all requests of an ingress share: route table, server selection, quotas, retry budget."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from vetchusher.errors import Error, ErrorCode
+from vetchusher.settings.configuration import Configuration, Route
+
+from .routes import RouteTable
+from .server_selection import ServerSelector
+
+SMOOTHING = 0.05  # weight of the newest response time
+STALE_RETRY_AFTER_US = 200_000  # when to return while this ingress cannot tell what is in force
+
+
+class TenantQuotas(Protocol):
+    """The tenants' quotas."""
+
+    def admit(self, now: int, tenant: str) -> bool:
+        """Whether one more request of the tenant may pass; if so it is counted."""
+
+    def retry_after_us(self, now: int, tenant: str) -> int:
+        """us after which a refused one may try again."""
+
+
+class AttemptBudget(Protocol):
+    """The extra tries, counted against the requests by service."""
+
+    def on_request(self, now: int, service: str) -> None:
+        """A request for the service goes to its first server."""
+
+    def take_attempt(self, now: int, service: str) -> bool:
+        """Whether one more extra try may be made; if so it is taken."""
+
+
+@dataclass(slots=True)
+class RoutingContext:
+    """What all requests of an ingress share.  A request keeps the route table that it began with.
+
+    :param fresh_until: us; until then the table is surely the one in force, and what it does not allow may be
+        refused for good
+    :param times: smoothed times of answers (us) by route; `configure` drops those of routes that are gone
+    """
+
+    choice: ServerSelector
+    quotas: TenantQuotas
+    retry_budget: AttemptBudget
+    rng: random.Random
+    table: RouteTable | None = None
+    fresh_until: int = -1
+    response_times: dict[str, float] = field(default_factory=dict)
+
+    def configure(self, configuration: Configuration) -> None:
+        self.table = RouteTable(configuration)
+        self.choice.configure(configuration.services)
+        names = {route.name for route in configuration.routes}
+        self.response_times = {name: time for name, time in self.response_times.items() if name in names}
+
+    def record_response_time(self, route: Route, took_us: int) -> None:
+        before = self.response_times.get(route.name)
+        self.response_times[route.name] = (
+            took_us if before is None else before + SMOOTHING * (took_us - before)
+        )
+
+    def rejection(self, now: int, kind: ErrorCode, text: str) -> Error:
+        """What the table does not allow: refused for good only if it is the one in force."""
+        fresh = now <= self.fresh_until
+        return (
+            Error(kind, text) if fresh else Error(ErrorCode.STALE_CONFIGURATION, text, STALE_RETRY_AFTER_US)
+        )
--- a/vetchusher/routing/headers.py
+++ b/vetchusher/routing/headers.py
@@ -11,7 +11,7 @@
 SEAL = "X-Vetchusher-Server-Seal"
 NOT_EXECUTED = "X-Vetchusher-Not-Executed"
 
-# Danger: of two values of one of these, a server may go by the other one.
+# Safety: of two values of one of these, a server may go by the other one.
 DECIDING = frozenset({"host", "authorization", "content-length", ATTEMPT_ID.lower(), TIME_REMAINING.lower()})
 
 _HOP_BY_HOP = frozenset(
@@ -23,14 +23,14 @@
 Headers = list[tuple[str, str]]
 
 
-def passed_on(headers: Iterable[tuple[str, str]], keyed: bool) -> Headers:
+def request_headers(headers: Iterable[tuple[str, str]], keyed: bool) -> Headers:
     """A request's headers that go along to a server: all but those that concern one connection only, those
     that are set anew for each attempt, and, where requests bear keys, the key."""
     dropped = _REPLACED | {"authorization"} if keyed else _REPLACED
     return _end_to_end(headers, dropped)
 
 
-def passed_back(headers: Iterable[tuple[str, str]]) -> Headers:
+def response_headers(headers: Iterable[tuple[str, str]]) -> Headers:
     """An answer's headers that go back to the client; its length is stated anew."""
     return _end_to_end(headers, frozenset({"content-length"}))
 
@@ -47,7 +47,7 @@
             named.update(option.strip().lower() for option in value.split(","))
         if low not in _HOP_BY_HOP and low not in dropped and not low.startswith("proxy-"):
             kept.append((written.setdefault(low, name), value))
-    # Danger: a client's Connection header must not remove the headers that decide.
+    # Safety: a client's Connection header must not remove the headers that decide.
     if named := named - _OURS - {SEAL.lower(), NOT_EXECUTED.lower(), "close", "keep-alive"}:
         kept = [(name, value) for name, value in kept if name.lower() not in named]
     return kept
--- a/vetchusher/routing/routes.py
+++ b/vetchusher/routing/routes.py
@@ -50,7 +50,7 @@
 def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
     """The regions in which it may be served; none named at all: every region.
 
-    Danger: where both have homes each binds; an empty cut allows no region, and must not read as "all".
+    Safety: where both have homes each binds; an empty cut allows no region, and must not read as "all".
     """
     homes = [some for some in (route.home_regions, tenant.home_regions if tenant else None) if some]
     return frozenset.intersection(*homes) if homes else None
--- a/vetchusher/routing/subsets.py
+++ b/vetchusher/routing/subsets.py
@@ -73,7 +73,7 @@
         return True
 
     def _change(self, old: Mapping[str, str], changed: Iterable[str]) -> None:
-        """Danger: to rank all ingresses anew for each server takes half a second of 160 and 2,600."""
+        """Safety: to rank all ingresses anew for each server takes half a second of 160 and 2,600."""
         for instance, place in self.places.items():
             for name in changed:
                 if name in old:
