--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -34,7 +34,8 @@
 from vetchusher.control.state import apply_order, copy_state, first_replica_set, first_state, state_stamp
 from vetchusher.distribution.rows import rows_of
 from vetchusher.distribution.snapshot import SnapshotStore
-from vetchusher.distribution.source import ZERO_STAMP, Source
+from vetchusher.distribution.source import Source
+from vetchusher.distribution.stamps import ZERO_STAMP
 from vetchusher.emulator.control.changes import TROUBLES, ChangesDay, Return, place
 from vetchusher.settings.configuration import read_configuration
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -20,7 +20,8 @@
 from vetchusher.distribution import source
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore, snapshot_of
-from vetchusher.distribution.source import ZERO_STAMP, Source, parse_source_update, stamp_message
+from vetchusher.distribution.source import Source, parse_source_update
+from vetchusher.distribution.stamps import ZERO_STAMP, stamp_message
 from vetchusher.distribution.subscriber import (
     FRESH_US,
     IN_TOUCH_US,
--- a/vetchusher/control/deltas.py
+++ b/vetchusher/control/deltas.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Iterable
 
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.distribution.wire_pb2 import BodyDelta
 
 from .chunks import DIGEST_BYTES, chunk_digest, parse_manifest, split_chunks
-from .state import ZERO_STAMP, StampTuple
 
 MIN_SAVINGS_RATIO = 2  # a delta is sent where the whole is so many times its size
 
--- a/vetchusher/control/durable_state.py
+++ b/vetchusher/control/durable_state.py
@@ -4,11 +4,12 @@
 
 from __future__ import annotations
 
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.distribution.wire_pb2 import ControlMessage, ControlState, ReplicaSet
 from vetchusher.events import Event, LogEvent
 
 from .messages import Output, Persist, PersistentState, Send, Timing
-from .state import ZERO_STAMP, StampTuple, replica_set_id, state_stamp
+from .state import replica_set_id, state_stamp
 
 
 class DurableState:
--- a/vetchusher/control/election.py
+++ b/vetchusher/control/election.py
@@ -14,11 +14,12 @@
 
 from enum import Enum, auto
 
+from vetchusher.distribution.stamps import stamp_tuple
 from vetchusher.distribution.wire_pb2 import ControlMessage, ReplicaSet, VoteReply, VoteRequest
 
 from .durable_state import DurableState
 from .messages import Output, Send, Timing
-from .state import has_quorum, newest_replica_set, stamp_tuple, state_stamp, voters
+from .state import has_quorum, newest_replica_set, state_stamp, voters
 
 
 class Stage(Enum):
--- a/vetchusher/control/follower.py
+++ b/vetchusher/control/follower.py
@@ -8,6 +8,7 @@
 
 from abc import ABC, abstractmethod
 
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
 from vetchusher.distribution.wire_pb2 import (
     ControlMessage,
     ControlState,
@@ -26,17 +27,7 @@
 from .deltas import apply_delta
 from .durable_state import DurableState
 from .messages import Committed, Output, Send
-from .state import (
-    ZERO_STAMP,
-    StampTuple,
-    replica_set_id,
-    stamp_message,
-    stamp_tuple,
-    state_stamp,
-    voters,
-    with_body,
-    with_configuration,
-)
+from .state import replica_set_id, state_stamp, voters, with_body, with_configuration
 from .voter import Voter
 
 
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass, field
 
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple, stamp_tuple
 from vetchusher.distribution.wire_pb2 import LeaseRenewalReply, WriteReply
 
 from .messages import Timing
-from .state import ZERO_STAMP, StampTuple, stamp_tuple
 
 MAX_OPEN_ROUNDS = 16  # renewals whose answers can still count
 
--- a/vetchusher/control/reconfiguration.py
+++ b/vetchusher/control/reconfiguration.py
@@ -15,11 +15,12 @@
 
 from collections.abc import Iterable, Sequence
 
+from vetchusher.distribution.stamps import StampTuple
 from vetchusher.distribution.wire_pb2 import ReplicaSet
 
 from .epoch import EpochContext
 from .progress import ProgressTracker
-from .state import StampTuple, copies_needed, electorates, has_quorum, majority, replica_set_id, voters
+from .state import copies_needed, electorates, has_quorum, majority, replica_set_id, voters
 from .target_members import MembershipView, next_members, voters_for
 
 
--- a/vetchusher/control/repair.py
+++ b/vetchusher/control/repair.py
@@ -14,6 +14,7 @@
 import random
 from dataclasses import dataclass, field
 
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
 from vetchusher.distribution.wire_pb2 import (
     Compare,
     Compared,
@@ -27,7 +28,6 @@
 
 from .digests import DEPTH, LEAVES
 from .messages import Received, Send
-from .state import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
 from .stored_rows import ScanResult, StoredCopy
 
 MAX_LEAVES_PER_REQUEST = 16  # leaves asked for in one message
--- a/vetchusher/control/replica.py
+++ b/vetchusher/control/replica.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 
+from vetchusher.distribution.stamps import StampTuple
 from vetchusher.distribution.wire_pb2 import ControlMessage, ControlState
 from vetchusher.events import Event
 
@@ -30,7 +31,7 @@
     Timing,
 )
 from .roles import RoleTransitions
-from .state import StampTuple, first_replica_set, first_state, last_evacuation_order, state_stamp, voters
+from .state import first_replica_set, first_state, last_evacuation_order, state_stamp, voters
 from .voter import Voter
 
 MAX_PEERS = 64
--- a/vetchusher/control/replication.py
+++ b/vetchusher/control/replication.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+from vetchusher.distribution.stamps import ZERO_STAMP, stamp_message
 from vetchusher.distribution.wire_pb2 import (
     BodyDelta,
     ControlMessage,
@@ -25,7 +26,7 @@
 from .messages import Output, Send
 from .progress import ProgressTracker, ReplicaProgress
 from .reconfiguration import Reconfiguration
-from .state import ZERO_STAMP, copy_state, stamp_message, state_stamp, without_configuration
+from .state import copy_state, state_stamp, without_configuration
 
 
 class Replicator:
--- a/vetchusher/control/state.py
+++ b/vetchusher/control/state.py
@@ -10,26 +10,14 @@
 from more_itertools import first
 from returns.result import Failure, Result, Success
 
-from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, ReplicaSet, Stamp
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
+from vetchusher.distribution.wire_pb2 import ControlState, Evacuation, ReplicaSet
 from vetchusher.errors import Error, ErrorCode
 
 from .messages import EvacuationOrder, Order, ReplaceOrder
 
 MAX_ZONES = 256  # that evacuations may name
 
-StampTuple = tuple[int, int]  # a stamp: epoch, seq
-ZERO_STAMP: StampTuple = (0, 0)
-
-
-def stamp_tuple(stamp: Stamp) -> StampTuple:
-    """Return a stamp message as (epoch, sequence number)."""
-    return stamp.epoch, stamp.seq
-
-
-def stamp_message(at: StampTuple) -> Stamp:
-    """Return a stamp as the wire's message."""
-    return Stamp(epoch=at[0], seq=at[1])
-
 
 def state_stamp(state: ControlState) -> StampTuple:
     """Return the stamp of a state."""
--- a/vetchusher/distribution/snapshot.py
+++ b/vetchusher/distribution/snapshot.py
@@ -21,7 +21,8 @@
 from vetchusher.errors import Error, ErrorCode
 
 from . import wire_pb2 as wire
-from .source import ZERO_STAMP, Source, StampTuple, stamp_message, stamp_tuple
+from .source import Source
+from .stamps import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
 
 FILE_NAME = "told.sqlite3"
 FORMAT = 2  # 1: a source in one piece; 2: a line a row, written as it changes
--- a/vetchusher/distribution/source.py
+++ b/vetchusher/distribution/source.py
@@ -10,26 +10,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from itertools import islice
-from typing import TypeAlias
 
 from . import wire_pb2 as wire
+from .stamps import ZERO_STAMP, StampTuple, stamp_message, stamp_tuple
 
-StampTuple: TypeAlias = tuple[int, int]
-ZERO_STAMP: StampTuple = (0, 0)
-MAX_REMOVED_KEYS = (
-    4096  # names of rows that are gone, kept for deltas; beyond these the oldest readers get all rows
-)
-MAX_ROWS = 65_536  # of one source; news of more is not taken
-
-
-def stamp_tuple(message: wire.Stamp) -> StampTuple:
-    """Return a stamp message as (epoch, sequence number)."""
-    return message.epoch, message.seq
-
-
-def stamp_message(stamp: StampTuple) -> wire.Stamp:
-    """Return a stamp as the wire's message."""
-    return wire.Stamp(epoch=stamp[0], seq=stamp[1])
+MAX_REMOVED_KEYS = 4096  # kept for deltas; beyond these the oldest subscribers get a snapshot
+MAX_ROWS = 65_536  # of one source; an update with more is not applied
 
 
 def version_vector(sources: Mapping[str, Source]) -> list[wire.SourceAt]:
--- a/vetchusher/distribution/subscriber.py
+++ b/vetchusher/distribution/subscriber.py
@@ -14,7 +14,8 @@
 from vetchusher.events import Event, LogEvent
 
 from . import wire_pb2 as wire
-from .source import ZERO_STAMP, Source, SourceUpdate, StampTuple, stamp_tuple, version_vector
+from .source import Source, SourceUpdate, version_vector
+from .stamps import ZERO_STAMP, StampTuple, stamp_tuple
 
 PRIMARY_HEARTBEAT_US = 500_000  # to the primary, or while none is known
 OTHER_HEARTBEAT_US = 1_000_000  # to the other core machines: what they learn is told unasked
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -13,7 +13,8 @@
 from functools import partial
 
 from vetchusher.control import Persist
-from vetchusher.control.state import ZERO_STAMP, StampTuple, state_stamp
+from vetchusher.control.state import state_stamp
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.fleet_world import MS, SECOND
 
--- a/vetchusher/emulator/control/closure.py
+++ b/vetchusher/emulator/control/closure.py
@@ -12,7 +12,8 @@
 from itertools import combinations
 
 from vetchusher.control import PersistentState
-from vetchusher.control.state import StampTuple, has_quorum, newest_replica_set, replica_set_id, state_stamp
+from vetchusher.control.state import has_quorum, newest_replica_set, replica_set_id, state_stamp
+from vetchusher.distribution.stamps import StampTuple
 
 
 @dataclass(slots=True, frozen=True)
--- a/vetchusher/emulator/control/encoding_cases.py
+++ b/vetchusher/emulator/control/encoding_cases.py
@@ -33,8 +33,8 @@
     Tick,
     Timing,
 )
-from vetchusher.control.state import ZERO_STAMP, StampTuple
 from vetchusher.control.state import state_stamp as at_
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 
 UNIT: Final = 500_000  # us; a step of the clock
 ATOMS = (int, str, bytes, bool, float, type(None))
--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -35,7 +35,7 @@
     Submitted,
     Timing,
 )
-from vetchusher.control.state import ZERO_STAMP
+from vetchusher.distribution.stamps import ZERO_STAMP
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.explorer import TIME
 from vetchusher.events import Event, LogEvent
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -9,15 +9,8 @@
 from returns.result import Failure, Result
 
 from vetchusher.control import PersistentState, Replica
-from vetchusher.control.state import (
-    ZERO_STAMP,
-    StampTuple,
-    has_quorum,
-    majority,
-    replica_set_id,
-    state_stamp,
-    voters,
-)
+from vetchusher.control.state import has_quorum, majority, replica_set_id, state_stamp, voters
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.distribution.wire_pb2 import ControlState, ReplicaSet
 from vetchusher.emulator.fleet_world import SECOND
 from vetchusher.errors import Error, ErrorCode
--- a/vetchusher/emulator/control/mutations.py
+++ b/vetchusher/emulator/control/mutations.py
@@ -29,14 +29,8 @@
 from vetchusher.control.primary import Primary
 from vetchusher.control.replica import Replica
 from vetchusher.control.replication import Replicator
-from vetchusher.control.state import (
-    ZERO_STAMP,
-    StampTuple,
-    first_replica_set,
-    first_state,
-    has_quorum,
-    state_stamp,
-)
+from vetchusher.control.state import first_replica_set, first_state, has_quorum, state_stamp
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.distribution.wire_pb2 import (
     BodyDelta,
     ControlMessage,
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -35,7 +35,8 @@
     Tick,
     Timing,
 )
-from vetchusher.control.state import ZERO_STAMP, StampTuple, state_stamp
+from vetchusher.control.state import state_stamp
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.distribution.wire_pb2 import ControlMessage
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.errors import Error, ErrorCode
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -14,7 +14,8 @@
 from vetchusher.control import state as control_state
 from vetchusher.discovery import reader
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import ZERO_STAMP, Source, SourceUpdate
+from vetchusher.distribution.source import Source, SourceUpdate
+from vetchusher.distribution.stamps import ZERO_STAMP
 from vetchusher.distribution.subscriber import Contact, SendPull, Subscriber, SubscriberOutput
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.node import api_calls, control_node, edge_node, leader_roles, order_service, proxy
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -21,7 +21,8 @@
 from vetchusher.control import PersistentState
 from vetchusher.control.stored_rows import ScanResult, StoredCopy
 from vetchusher.distribution import wire_pb2 as wire
-from vetchusher.distribution.source import ZERO_STAMP, Source
+from vetchusher.distribution.source import Source
+from vetchusher.distribution.stamps import ZERO_STAMP
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import LogEvent
--- a/vetchusher/node/snapshot_writer.py
+++ b/vetchusher/node/snapshot_writer.py
@@ -11,7 +11,8 @@
 from returns.result import Failure, Success
 
 from vetchusher.distribution.snapshot import SnapshotStore
-from vetchusher.distribution.source import ZERO_STAMP, Source, StampTuple
+from vetchusher.distribution.source import Source
+from vetchusher.distribution.stamps import ZERO_STAMP, StampTuple
 from vetchusher.events import Event, LogEvent
 
 from .context import NodeContext
