--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -109,7 +109,7 @@
             AttemptOutcome.NOT_EXECUTED: ((True, refuse), (True, refuse)),
             AttemptOutcome.MISDIRECTED: ((True, refuse), (True, refuse)),
             AttemptOutcome.RESET: ((True, fail), (False, fail)),
-            AttemptOutcome.SILENT: ((True, fail), (False, fail)),
+            AttemptOutcome.TIMED_OUT: ((True, fail), (False, fail)),
             AttemptOutcome.GARBLED: ((True, fail), (False, fail)),
             AttemptOutcome.CANCELLED: ((True, fail), (False, fail)),
             AttemptOutcome.SERVER_ERROR: ((True, answer), (False, answer)),
@@ -487,7 +487,7 @@
         for me in zones:
             mine = Subsets(me)
             mine.ingresses(zones)
-            found[me] = {s for s in servers if mine.holds(f"i-{s}", self.ZONES[s % 3], len(servers))}
+            found[me] = {s for s in servers if mine.contains(f"i-{s}", self.ZONES[s % 3], len(servers))}
         return found
 
     def test_all_servers_are_worked_by_as_many_and_one_change_moves_little(self):
@@ -526,7 +526,7 @@
             anew = Subsets("edge-0")
             anew.ingresses(zones)
             for instance, zone in servers:
-                self.assertEqual(anew.holds(instance, zone, 60), kept.holds(instance, zone, 60))
+                self.assertEqual(anew.contains(instance, zone, 60), kept.contains(instance, zone, 60))
                 self.assertEqual(anew.places[instance].before, kept.places[instance].before)
 
     def test_one_ingress_more_ranks_that_one_only(self):
@@ -534,13 +534,13 @@
         kept, ranked = Subsets("edge-0"), []
         kept.ingresses(zones)
         for n in range(50):
-            kept.holds(f"i-{n}", "gulf-a", 50)
+            kept.contains(f"i-{n}", "gulf-a", 50)
         with patch.object(
             subsets, "rank", lambda name, instance: ranked.append(name) or rank(name, instance)
         ):
             kept.ingresses(zones | {"edge-new": "gulf-a"})
             for n in range(50):
-                kept.holds(f"i-{n}", "gulf-a", 50)
+                kept.contains(f"i-{n}", "gulf-a", 50)
         self.assertEqual(["edge-new"] * 50, ranked)
 
     def test_the_own_zone_first_and_beyond_the_patch_where_that_does_badly(self):
--- a/vetchusher/control/leader_lease.py
+++ b/vetchusher/control/leader_lease.py
@@ -30,7 +30,7 @@
         self.began_at = context.began_at
         self.last_renewal_at = context.began_at - context.timing.renewal_interval_us
         self.last_renewal_was_probe = False
-        self.was_held = False
+        self.was_valid = False
         self.lapsed_at: int | None = None
 
     def is_valid(self, now: int) -> bool:
@@ -43,12 +43,12 @@
         A primary that hears the others and is not heard by them ends its epoch here.
         """
         if self.is_valid(now):
-            self.lapsed_at, self.was_held = None, True
+            self.lapsed_at, self.was_valid = None, True
             return False
         if self.lapsed_at is None:
             self.lapsed_at = now
         # The first replies of an epoch may take as long as a lease.
-        grace_us = self.timing.lease_regain_us if self.was_held else self.timing.lease_duration_us
+        grace_us = self.timing.lease_regain_us if self.was_valid else self.timing.lease_duration_us
         return now >= self.lapsed_at + grace_us
 
     def is_renewal_due(self, now: int) -> bool:
--- a/vetchusher/control/progress.py
+++ b/vetchusher/control/progress.py
@@ -32,7 +32,7 @@
 
     def contacted_within(self, now: int, period_us: int) -> set[str]:
         """Return the machines heard from in the period (us) until now."""
-        return {ip for ip, heard in self.last_contact_at.items() if now < heard + period_us}
+        return {ip for ip, contact_at in self.last_contact_at.items() if now < contact_at + period_us}
 
     def forget_oldest(self) -> None:
         """Forget the machine that has not been heard from for longest."""
@@ -69,7 +69,7 @@
     replica_set_id: StampTuple = ZERO_STAMP
     lease_expires_at: int = 0
     last_round: int = 0
-    amnesiac: bool = False
+    is_amnesiac: bool = False
     needs_full_body: bool = False
     sent_stamp: StampTuple = ZERO_STAMP
     first_sent_at: int = 0
@@ -82,7 +82,7 @@
     def reset_after_restart(self) -> None:
         """Forget what an earlier process reported: what is on its disk is to be reported anew."""
         self.copy_stamp = self.sent_stamp = self.replica_set_id = ZERO_STAMP
-        self.amnesiac = False
+        self.is_amnesiac = False
 
 
 class ProgressTracker:
@@ -134,7 +134,7 @@
         if progress is None or sent_at is None or reply.round <= progress.last_round:
             return
         progress.last_round = reply.round
-        progress.amnesiac = reply.amnesiac
+        progress.is_amnesiac = reply.amnesiac
         if reply.accepted:
             progress.lease_expires_at = progress.copy_valid_until = sent_at + self.timing.answer_valid_us
         # It may be less than it was: the newest word counts.
@@ -182,8 +182,8 @@
         if ip == self.peers.own_ip:
             return True
         progress = self.of(ip)
-        may_hold_copy = not progress.amnesiac and ip not in self.peers.leaving and self.is_answering(now, ip)
-        return may_hold_copy and self.is_reachable(now, ip) and now >= progress.ejected_until
+        is_ready = not progress.is_amnesiac and ip not in self.peers.leaving and self.is_answering(now, ip)
+        return is_ready and self.is_reachable(now, ip) and now >= progress.ejected_until
 
     def is_answering(self, now: int, ip: str) -> bool:
         """Return whether a machine answers renewals. One that is heard from and hears nothing would delay
--- a/vetchusher/control/reconfiguration.py
+++ b/vetchusher/control/reconfiguration.py
@@ -140,7 +140,7 @@
             for ip, x in sorted(self.progress.learners.items())
             if now < x.lease_expires_at
             and x.replica_set_id >= replica_set_id(self.current)
-            and not x.amnesiac
+            and not x.is_amnesiac
             and ip not in peers.leaving
         ]
 
--- a/vetchusher/control/replication.py
+++ b/vetchusher/control/replication.py
@@ -125,7 +125,7 @@
         newest = state_stamp(self.durable.state)
         for ip in sorted(self.targets(now)):
             progress = self.progress.of(ip)
-            if progress.copy_stamp >= newest or progress.amnesiac:
+            if progress.copy_stamp >= newest or progress.is_amnesiac:
                 continue
             if progress.sent_stamp != newest or self.is_resend_due(now, ip, progress):
                 outputs += self.send_write(now, ip, progress)
@@ -139,10 +139,10 @@
     def send_write(self, now: int, ip: str, progress: ReplicaProgress) -> list[Output]:
         """Send the newest state to one machine, with as little of the configuration as it needs."""
         state = self.durable.state
-        self.note_sending(now, progress)
+        self.record_sending(now, progress)
         delta = self.delta_for(progress)
-        holds_configuration = progress.copy_stamp >= self.history.current_since and state.version
-        if delta is not None or holds_configuration:
+        has_configuration = progress.copy_stamp >= self.history.current_since and state.version
+        if delta is not None or has_configuration:
             state = without_configuration(state)
         progress.sent_bytes = delta.ByteSize() if delta is not None else len(state.configuration)
         write = Write(
@@ -154,7 +154,7 @@
         )
         return [Send(ip, ControlMessage(write=write))]
 
-    def note_sending(self, now: int, progress: ReplicaProgress) -> None:
+    def record_sending(self, now: int, progress: ReplicaProgress) -> None:
         """Record that the newest state is sent; the delay before the next sending doubles."""
         stamp = state_stamp(self.durable.state)
         if progress.sent_stamp == stamp:
@@ -172,7 +172,7 @@
         """
         if progress.needs_full_body or progress.copy_stamp >= self.history.current_since:
             return None
-        is_guess = self.committed is None and progress.copy_stamp == ZERO_STAMP and not progress.amnesiac
+        is_guess = self.committed is None and progress.copy_stamp == ZERO_STAMP and not progress.is_amnesiac
         if is_guess or progress.copy_stamp >= self.history.previous_since > ZERO_STAMP:
             return self.history.delta()
         return None
@@ -238,8 +238,8 @@
     def drop_unneeded_copies(self, now: int) -> list[Output]:
         """Tell machines that the established replica set no longer names to drop their copies."""
         reconfiguration = self.reconfiguration
-        is_settled = reconfiguration.is_established and reconfiguration.proposed is None
-        if not is_settled or self.committed is None:
+        is_stable = reconfiguration.is_established and reconfiguration.proposed is None
+        if not is_stable or self.committed is None:
             return []
         if now < reconfiguration.established_at + self.timing.copy_retention_us:
             return []
--- a/vetchusher/directory/naming.py
+++ b/vetchusher/directory/naming.py
@@ -20,7 +20,7 @@
     node: str
     zone: str
     region: str
-    front: str
+    address: str
 
 
 def choose_addresses(ingresses: Iterable[ServingIngress], region: str, zone: str) -> list[str]:
@@ -29,11 +29,11 @@
     near = [one for one in serving if one.region == region]
     chosen = near if len(near) >= FEWEST_NAMED else serving
     chosen.sort(key=lambda one: (one.region != region, one.zone != zone, one.node))
-    return [one.front for one in chosen[:MOST_NAMED]]
+    return [one.address for one in chosen[:MOST_NAMED]]
 
 
 def encode_ingress(ip: str, ingress: ServingIngress, serving: bool) -> bytes:
-    fields = [ip, ingress.zone, ingress.region, ingress.front, int(serving)]
+    fields = [ip, ingress.zone, ingress.region, ingress.address, int(serving)]
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
--- a/vetchusher/directory/presence.py
+++ b/vetchusher/directory/presence.py
@@ -13,7 +13,7 @@
 MAY_SERVE_US = 60_000_000  # since the last heartbeat: cut off from here it may still serve clients
 MOST_INGRESSES = 2_048
 TTL_S = 2  # for which a client may cache the directory's answer
-KEPT_TIMES = 3  # times that: some clients cache it so long
+RETENTION_FACTOR = 3  # times that: some clients cache it so long
 
 
 @dataclass(slots=True)
@@ -22,13 +22,13 @@
     ip: str
     zone: str
     region: str
-    front: str
+    address: str
     incarnation: int
     state: wire.Standing
     last_contact_at: int
 
     def as_serving(self) -> ServingIngress:
-        return ServingIngress(self.node, self.zone, self.region, self.front)
+        return ServingIngress(self.node, self.zone, self.region, self.address)
 
     def is_serving(self, now: int) -> bool:
         """Ready, by a recent heartbeat."""
@@ -68,16 +68,16 @@
         )
 
     def expire(self, now: int) -> list[LogEvent]:
-        notes = []
+        events = []
         for node, one in list(self.ingresses.items()):
-            silent = now - one.last_contact_at
-            if silent > MAY_SERVE_US:
+            unheard_us = now - one.last_contact_at
+            if unheard_us > MAY_SERVE_US:
                 del self.ingresses[node]
                 self.departed.discard(node)
-            elif silent > SERVING_US and node not in self.departed:
+            elif unheard_us > SERVING_US and node not in self.departed:
                 self.departed.add(node)
-                notes.append(LogEvent(Event.INGRESS_LOST, {"node": node}))
-        return notes
+                events.append(LogEvent(Event.INGRESS_LOST, {"node": node}))
+        return events
 
     def remember(self, now: int, node: str) -> None:
         """Add an ingress that stored rows name: it may still be serving.
--- a/vetchusher/discovery/reader.py
+++ b/vetchusher/discovery/reader.py
@@ -19,11 +19,11 @@
 from .server import Server
 
 ABSENT_READS = 2  # whole reads in a row without it: pages shift while they are read
-KEPT_WAIT_US = 3_000_000  # before a new owner of a cold budget may send
+OWNER_WAIT_US = 3_000_000  # before a new owner of a cold budget may send
 # The lease of a cold budget: how long its owner may send after the heartbeat that the primary last answered.
 # Safety: an owner that is cut off does not learn that another was named, and a new primary may name one at
 # once; so the lease is no longer than the wait.
-KEPT_LEASE_US = KEPT_WAIT_US
+OWNER_LEASE_US = OWNER_WAIT_US
 MOST_SERVERS = 16_384
 
 
@@ -143,7 +143,7 @@
         near = [node for node, place in nodes if place == region] or [node for node, _ in nodes]
         if near:
             # Safety: the previous owner may be alive, unheard, and still send to the server.
-            known.owner_wait_ms = KEPT_WAIT_US // 1000 if known.cold_owner else 0
+            known.owner_wait_ms = OWNER_WAIT_US // 1000 if known.cold_owner else 0
             known.cold_owner = max(near, key=lambda node: rank(node, known.listed.instance))
 
 
--- a/vetchusher/distribution/snapshot.py
+++ b/vetchusher/distribution/snapshot.py
@@ -186,9 +186,9 @@
         self.connection.close()
 
 
-def snapshot_of(ledger: Source) -> wire.SourceNews | None:
+def snapshot_of(source: Source) -> wire.SourceNews | None:
     """Return all rows of a source."""
-    return ledger.update_since(ZERO_STAMP)
+    return source.update_since(ZERO_STAMP)
 
 
 def row_digest(source: str, key: str, value: bytes) -> bytes:
--- a/vetchusher/emulator/system/mutations.py
+++ b/vetchusher/emulator/system/mutations.py
@@ -112,8 +112,8 @@
             lambda self, now: self._reject(ErrorCode.NOT_EXECUTED, "no server took it"),
         ),
     ),
-    "a cold server's new owner does not wait": ((reader, "KEPT_WAIT_US", 0),),
-    "a cold owner has no lease": ((edge_node, "KEPT_LEASE_US", 1 << 61),),
+    "a cold server's new owner does not wait": ((reader, "OWNER_WAIT_US", 0),),
+    "a cold owner has no lease": ((edge_node, "OWNER_LEASE_US", 1 << 61),),
     "any ingress may send to a cold server": (
         (server_selection.ServerSelector, "_is_cold", lambda self, now, standing: False),
     ),
--- a/vetchusher/emulator/system/servers.py
+++ b/vetchusher/emulator/system/servers.py
@@ -162,7 +162,7 @@
         return True
 
     def expire(self, attempt: Attempt) -> None:
-        self.finish(attempt, AttemptOutcome.SILENT if attempt.begun else AttemptOutcome.NO_CONNECTION)
+        self.finish(attempt, AttemptOutcome.TIMED_OUT if attempt.begun else AttemptOutcome.NO_CONNECTION)
 
     def finish(
         self, attempt: Attempt, seen: AttemptOutcome, got: ServerResponse | None = None, prompt: bool = False
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -383,7 +383,7 @@
             part, loop = machine.part, machine.loop
             if isinstance(part, ControlNode) and loop is not None and not loop.frozen:
                 names = part.presence.resolve(part.now(), region, "")
-                named = [one.node for one in part.presence.ingresses.values() if one.front in names]
+                named = [one.node for one in part.presence.ingresses.values() if one.address in names]
                 if named:
                     self.named[region] = named
 
--- a/vetchusher/events.py
+++ b/vetchusher/events.py
@@ -60,5 +60,5 @@
 
     def line(self) -> str:
         """Return the line as it is written, without time and level."""
-        told = " ".join(f"{name}={value}" for name, value in self.facts.items())
-        return f"{int(self.event)} {self.event.name.lower()} {told}".rstrip()
+        figures = " ".join(f"{name}={value}" for name, value in self.facts.items())
+        return f"{int(self.event)} {self.event.name.lower()} {figures}".rstrip()
--- a/vetchusher/node/attempts.py
+++ b/vetchusher/node/attempts.py
@@ -77,9 +77,9 @@
 class ChunkedPayload(Payload):
     """A long body, written in the pieces in which it came."""
 
-    def __init__(self, pieces: list[bytes]) -> None:
-        super().__init__(pieces)
-        self._size = sum(map(len, pieces))
+    def __init__(self, chunks: list[bytes]) -> None:
+        super().__init__(chunks)
+        self._size = sum(map(len, chunks))
 
     def decode(self, encoding: str = "utf-8", errors: str = "strict") -> str:
         return b"".join(self._value).decode(encoding, errors)
@@ -177,8 +177,8 @@
         assert isinstance(connector, Links)
         connector.drop_stale()
 
-    def start(self, send: SendAttempt, matter: RequestSpec, report: AttemptReport) -> Attempt:
-        attempt = Attempt(send, matter, report, self.loop.time())
+    def start(self, send: SendAttempt, spec: RequestSpec, report: AttemptReport) -> Attempt:
+        attempt = Attempt(send, spec, report, self.loop.time())
         self.attempts.add(attempt)
         attempt.task = self.loop.create_task(self.run(attempt))
         attempt.expiry = self.loop.call_at(send.deadline / 1e6, self.expire, attempt)
@@ -203,7 +203,7 @@
     def expire(self, attempt: Attempt) -> None:
         # Safety: what the closing socket still holds may be sent yet, so a request that was only partly
         # written when its time was over may run all the same.
-        self.finish(attempt, AttemptOutcome.SILENT if attempt.begun else AttemptOutcome.NO_CONNECTION)
+        self.finish(attempt, AttemptOutcome.TIMED_OUT if attempt.begun else AttemptOutcome.NO_CONNECTION)
 
     def cancel(self, attempt: Attempt) -> None:
         """End it without a report."""
@@ -220,48 +220,48 @@
                 timer.cancel()
         return True
 
-    def finish(self, attempt: Attempt, seen: AttemptOutcome, got: ServerResponse | None = None) -> None:
+    def finish(self, attempt: Attempt, seen: AttemptOutcome, response: ServerResponse | None = None) -> None:
         """The one place where an attempt ends.  Cancelling its task closes a connection still in use."""
         if not self.disconnect(attempt):
-            if got is not None and isinstance(got.body, Streamed):
-                got.body.close()
+            if response is not None and isinstance(response.body, Streamed):
+                response.body.close()
             return
         if attempt.task is not None and attempt.task is not asyncio.current_task():
             attempt.task.cancel()
         soon = self.loop.time() - attempt.sent_at < IMMEDIATE_RESET_US / 1e6
         prompt = seen is AttemptOutcome.RESET and soon and not attempt.response_began
-        attempt.report(attempt.send.number, seen, prompt, got)
+        attempt.report(attempt.send.number, seen, prompt, response)
 
     async def run(self, attempt: Attempt) -> None:
-        send, matter = attempt.send, attempt.spec
+        send, spec = attempt.send, attempt.spec
         sending.set(attempt)
-        response: aiohttp.ClientResponse | None = None
-        got: ServerResponse | None = None
+        raw: aiohttp.ClientResponse | None = None
+        response: ServerResponse | None = None
         try:
-            response = await self.session.request(
-                matter.method,
-                target_url(send.server.address, matter.target),
+            raw = await self.session.request(
+                spec.method,
+                target_url(send.server.address, spec.target),
                 headers=CIMultiDict(send.headers),
-                data=body_of(matter.body),
+                data=body_of(spec.body),
                 allow_redirects=False,
             )
-            seen, got = await self.read_response(attempt, response)
+            outcome, response = await self.read_response(attempt, raw)
         except aiohttp.ClientConnectorError:
-            seen = AttemptOutcome.NO_CONNECTION
+            outcome = AttemptOutcome.NO_CONNECTION
         except NeverSent as err:
-            seen = outcome_of_lost_connection(attempt, err)
+            outcome = outcome_of_lost_connection(attempt, err)
         except aiohttp.ClientResponseError:
-            seen = AttemptOutcome.GARBLED
+            outcome = AttemptOutcome.GARBLED
         except (aiohttp.ClientError, OSError):
-            seen = AttemptOutcome.RESET
+            outcome = AttemptOutcome.RESET
         except asyncio.CancelledError:
-            if response is not None:
-                response.close()
+            if raw is not None:
+                raw.close()
             raise
         except Exception as err:
             log.warning("attempt failed: %s: %s", type(err).__name__, err)
-            seen = AttemptOutcome.GARBLED  # it may have run: nothing better is known
-        self.finish(attempt, seen, got)
+            outcome = AttemptOutcome.GARBLED  # it may have run: nothing better is known
+        self.finish(attempt, outcome, response)
 
     async def read_response(
         self, attempt: Attempt, response: aiohttp.ClientResponse
--- a/vetchusher/node/cli.py
+++ b/vetchusher/node/cli.py
@@ -134,12 +134,12 @@
 
 def check(settings: str, configuration: str, data: str) -> int:
     """Check the files that are named, each in a line."""
-    asked = (
+    requested = (
         (settings, check_settings),
         (configuration, check_configuration),
         (data, check_folder),
     )
-    lines = [look(path) for path, look in asked if path]
+    lines = [look(path) for path, look in requested if path]
     return print_results(lines or [failure("nothing to check: give --settings, --configuration or --data")])
 
 
@@ -165,8 +165,8 @@
 
 def describe_settings(node: NodeSettings) -> str:
     """Return a line on what the settings make a process do."""
-    doors = {name: getattr(node.listen, name) for name in ("front", "ready", "control", "directory")}
-    at = " ".join(f"{name}={a[0]}:{a[1]}" for name, a in doors.items() if a is not None)
+    listeners = {name: getattr(node.listen, name) for name in ("front", "ready", "control", "directory")}
+    at = " ".join(f"{name}={a[0]}:{a[1]}" for name, a in listeners.items() if a is not None)
     store = node.data_directory or "nothing"
     return f"{node.node_name} in {node.zone} ({node.region}) serves {at or 'nobody'}; keeps {store}"
 
--- a/vetchusher/node/data_folders.py
+++ b/vetchusher/node/data_folders.py
@@ -42,10 +42,10 @@
 def export_folder(folder: str, file: str) -> Result[str, Error]:
     """Write what a folder holds into one new file."""
     path = pathlib.Path(file)
-    kept = read_contents(folder)
-    if isinstance(kept, Failure):
-        return kept
-    found = kept.unwrap()
+    contents = read_contents(folder)
+    if isinstance(contents, Failure):
+        return contents
+    found = contents.unwrap()
     if found is None:
         return Failure(Error(ErrorCode.STORAGE_ERROR, f"{folder}: nothing yet"))
     if not found.has_copy:
@@ -65,20 +65,22 @@
 
 def import_file(file: str, folder: str) -> Result[str, Error]:
     """Make a new folder of an exported file."""
-    kept = with_path(file, archive.read_export(pathlib.Path(file)).bind(check_configuration))
-    if isinstance(kept, Failure):
-        return kept
-    floor = imported_state_of(kept.unwrap(), int(time.time()))
-    return with_path(folder, archive.import_into(pathlib.Path(folder), floor)).map(
-        lambda _: f"{folder}: r{floor.state.version} as a floor, epochs from {floor.voted_epoch}"
+    contents = with_path(file, archive.read_export(pathlib.Path(file)).bind(check_configuration))
+    if isinstance(contents, Failure):
+        return contents
+    imported_state = imported_state_of(contents.unwrap(), int(time.time()))
+    return with_path(folder, archive.import_into(pathlib.Path(folder), imported_state)).map(
+        lambda _: (
+            f"{folder}: r{imported_state.state.version} as a floor, epochs from {imported_state.voted_epoch}"
+        )
     )
 
 
-def check_configuration(kept: PersistentState) -> Result[PersistentState, Error]:
+def check_configuration(contents: PersistentState) -> Result[PersistentState, Error]:
     """Reject a state whose configuration cannot be read: a system that began from it would serve nobody."""
-    if not kept.state.version:
-        return Success(kept)
-    return read_configuration(kept.state.configuration).map(lambda _: kept)
+    if not contents.state.version:
+        return Success(contents)
+    return read_configuration(contents.state.configuration).map(lambda _: contents)
 
 
 def with_path(path: str, outcome: Result[Found, Error]) -> Result[Found, Error]:
@@ -120,27 +122,27 @@
 
 
 def summary(
-    store: Store | None, kept: PersistentState | None, files: dict[str, int]
+    store: Store | None, stored: PersistentState | None, files: dict[str, int]
 ) -> dict[str, Any] | None:
     """Return what people want to know of a folder."""
-    held = kept or (store.imported_state if store is not None else None)
-    if store is None or held is None:
+    contents = stored or (store.imported_state if store is not None else None)
+    if store is None or contents is None:
         return None
-    state = held.state
+    state = contents.state
     return {
         "format": files.pop("format"),
-        "imported": kept is None,
-        "promised": held.voted_epoch,
+        "imported": stored is None,
+        "promised": contents.voted_epoch,
         "stamp": f"{state.stamp.epoch}.{state.stamp.seq}",
         "version": f"r{state.version}" if state.version else None,
         "bytes": len(state.configuration),
         "digest": digest(state.configuration) if state.configuration else None,
         "evacuations": {e.zone: f"{'on' if e.on else 'off'}, order {e.order}" for e in state.evacuations},
-        "copy": held.has_copy,
-        "owner": held.voted_for,
-        "record": f"{held.replica_set.epoch}.{held.replica_set.number}",
-        "copies": list(held.replica_set.copies),
-        "members": list(held.replica_set.members),
+        "copy": contents.has_copy,
+        "owner": contents.voted_for,
+        "record": f"{contents.replica_set.epoch}.{contents.replica_set.number}",
+        "copies": list(contents.replica_set.copies),
+        "members": list(contents.replica_set.members),
         "chunks": len(store.chunk_digests),
         "ranges": range_digests(store),
         "files": files,
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -9,8 +9,8 @@
 
 from vetchusher.directory.naming import Entrance, choose_addresses, entrances_of
 from vetchusher.directory.neighbours import choose_neighbours, decode_locations
-from vetchusher.directory.presence import KEPT_TIMES, TTL_S
-from vetchusher.discovery.reader import KEPT_LEASE_US, read_row
+from vetchusher.directory.presence import RETENTION_FACTOR, TTL_S
+from vetchusher.discovery.reader import OWNER_LEASE_US, read_row
 from vetchusher.discovery.server import Server
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.rows import DIGEST, configuration_of, evacuated_of
@@ -103,16 +103,16 @@
 
     def heartbeat(self) -> wire.Heartbeat:
         """Return this ingress's heartbeat."""
-        node, front = self.settings, self.settings.listen.front
-        standing = wire.LEAVING if self.is_draining else wire.READY if self.is_ready() else wire.STARTING
+        node, address = self.settings, self.settings.listen.front
+        state = wire.LEAVING if self.is_draining else wire.READY if self.is_ready() else wire.STARTING
         return wire.Heartbeat(
             node=node.node_name,
             ip=node.ip_address,
             zone=node.zone,
             region=node.region,
-            front=f"{front[0]}:{front[1]}" if front else "",
+            front=f"{address[0]}:{address[1]}" if address else "",
             life=self.incarnation,
-            standing=standing,
+            standing=state,
             vector=version_vector(self.sources),
         )
 
@@ -187,19 +187,19 @@
 
     def on_servers(self, now: int) -> None:
         """Take the servers of the discovery source."""
-        known: dict[str, tuple[bytes, Server]] = {}
+        servers: dict[str, tuple[bytes, Server]] = {}
         for instance, value in self.discovery.values().items():
-            kept = self.servers.get(instance)
-            if kept is not None and kept[0] == value:
-                known[instance] = kept  # its spans go on from when they were first told
+            known_row = self.servers.get(instance)
+            if known_row is not None and known_row[0] == value:
+                servers[instance] = known_row  # its spans go on from when they were first told
                 continue
             match read_row(instance, value, now):
                 case Success(server):
-                    known[instance] = (value, server)
+                    servers[instance] = (value, server)
                 case fault:
                     self.log_event(LogEvent(Event.UPDATE_REJECTED, {"why": fault.failure().text}))
-        self.servers = known
-        self.proxy.set_servers([server for _, server in known.values()])
+        self.servers = servers
+        self.proxy.set_servers([server for _, server in servers.values()])
 
     # -- time ---------------------------------------------------------------------------------
 
@@ -214,7 +214,7 @@
         now = self.now()
         self.perform_subscriber_outputs(self.subscriber.tick(now))
         self.update_freshness(now)
-        self.proxy.selector.cold_budget_until = self.subscriber.primary_contact_at(now) + KEPT_LEASE_US
+        self.proxy.selector.cold_budget_until = self.subscriber.primary_contact_at(now) + OWNER_LEASE_US
         due = self.quota.push_requested or self.loop.time() - self.last_push_at_s >= PUSH_INTERVAL_S
         if due and len(self.push_tasks) < MAX_PUSHES:
             self.last_push_at_s = self.loop.time()
@@ -277,7 +277,7 @@
 
     async def close(self, deadline_s: float) -> None:
         """Drain within the grace, then close."""
-        kept_s = KEPT_TIMES * min(TTL_S, self.settings.bounds.ttl_max_s)
+        kept_s = RETENTION_FACTOR * min(TTL_S, self.settings.bounds.ttl_max_s)
         await asyncio.sleep(
             min(self.draining_since_s + kept_s, deadline_s - FINISH_REQUESTS_S) - self.loop.time()
         )
--- a/vetchusher/node/log.py
+++ b/vetchusher/node/log.py
@@ -70,6 +70,6 @@
     handler.addFilter(RateLimitFilter())
 
 
-def log_event(note: LogEvent) -> None:
+def log_event(event: LogEvent) -> None:
     """Write one event to the log."""
-    absl_logging.get_absl_logger().info("%s", note.line(), extra={"event": note.event})
+    absl_logging.get_absl_logger().info("%s", event.line(), extra={"event": event.event})
--- a/vetchusher/node/peer_network.py
+++ b/vetchusher/node/peer_network.py
@@ -107,11 +107,11 @@
         self.transport.write(len(raw).to_bytes(4, "big") + raw)
         return True
 
-    def reply(self, asked: wire.Frame, answer: wire.Frame, more: bytes = b"") -> None:
+    def reply(self, request: wire.Frame, reply: wire.Frame, more: bytes = b"") -> None:
         """Answer a frame."""
-        answer.call, answer.reply = asked.call, True
-        self.network.sign(answer)
-        self.write(answer, more)
+        reply.call, reply.reply = request.call, True
+        self.network.sign(reply)
+        self.write(reply, more)
 
     def abort(self) -> None:
         """End the connection at once."""
@@ -199,8 +199,8 @@
         peer = self.peers.get(channel.peer_ip)
         if peer is not None and peer.channel is channel:
             peer.channel = None
-        for number, (future, way) in list(self.calls.items()):
-            if way is channel and not future.done():
+        for number, (future, used_channel) in list(self.calls.items()):
+            if used_channel is channel and not future.done():
                 del self.calls[number]
                 future.set_result(None)
 
@@ -304,6 +304,6 @@
             return
         # Safety: numbers begin again with each life of a process.  A connection ends with either of its two,
         # so on the connection on which a question was asked its number stands for that question alone.
-        future, way = self.calls.get(frame.call, (None, None))
-        if future is not None and way is channel and not future.done():
+        future, used_channel = self.calls.get(frame.call, (None, None))
+        if future is not None and used_channel is channel and not future.done():
             future.set_result(frame)
--- a/vetchusher/node/proxy.py
+++ b/vetchusher/node/proxy.py
@@ -137,8 +137,8 @@
                     self.resolve(self.responses.pop(action.number))
                 case Reject():
                     self.resolve(action.error)
-        for note in self.request.events:
-            self.proxy.log_event(note)
+        for event in self.request.events:
+            self.proxy.log_event(event)
         self.request.events.clear()
 
     def resolve(self, answer: Error | ServerResponse) -> None:
--- a/vetchusher/node/subscriber_driver.py
+++ b/vetchusher/node/subscriber_driver.py
@@ -81,8 +81,8 @@
         else:
             updates = parse_updates(message)
         changed, events = self.subscriber.on_updates(number, updates)
-        for note in events:
-            self.owner.log_event(note)
+        for event in events:
+            self.owner.log_event(event)
         self.owner.on_updates_applied(changed)
 
     async def close(self) -> None:
--- a/vetchusher/quota/coordinator.py
+++ b/vetchusher/quota/coordinator.py
@@ -150,23 +150,25 @@
         shares are reserved.
         """
         self.silence_checked_at = now
-        heard = [incarnations[-1] for incarnations in self.peers.values()]
+        newest = [incarnations[-1] for incarnations in self.peers.values()]
         unheard = len(self.serving_nodes - self.peers.keys())
-        self.silent_peers = unheard + sum(now - peer.last_contact_at > SILENCE_TIMEOUT_US for peer in heard)
+        self.silent_peers = unheard + sum(now - peer.last_contact_at > SILENCE_TIMEOUT_US for peer in newest)
         if not self.is_complete and self.serving_nodes:
-            told = not unheard and all(s.knows_coordinator for s in heard if s.node in self.serving_nodes)
-            if told or now - self.began_at >= COMPLETE_AFTER_US:
+            all_known = not unheard and all(
+                s.knows_coordinator for s in newest if s.node in self.serving_nodes
+            )
+            if all_known or now - self.began_at >= COMPLETE_AFTER_US:
                 self.is_complete = True
                 for quota in self.tenants.values():
                     # Safety: what the unheard passed before is not known either.
                     self.refill(now, quota)
                     quota.available -= quota.shape.depth * unheard / self.ingresses
                     # Safety: two windows do not tell all that was given out ahead.
-                    left = max(quota.reported_deficit, -quota.shape.advance) + quota.shape.gained(
+                    remaining = max(quota.reported_deficit, -quota.shape.advance) + quota.shape.gained(
                         now - quota.reported_deficit_at
                     )
                     quota.available = (
-                        min(quota.available, left) if quota.reported_deficit < 0.0 else quota.available
+                        min(quota.available, remaining) if quota.reported_deficit < 0.0 else quota.available
                     )
 
     def refill(self, now: int, quota: TenantQuota) -> None:
@@ -209,17 +211,17 @@
         peer.knows_coordinator = peer.knows_coordinator or push.holder == self.epoch
         if now - self.silence_checked_at >= SILENCE_CHECK_US or not self.is_complete:
             self.check_silence(now)
-        asked = []
-        for passed in push.passed:
-            pool = self.tenants.get(passed.tenant)
+        requested = []
+        for report in push.passed:
+            pool = self.tenants.get(report.tenant)
             if pool is not None:
                 self.refill(now, pool)
-                knows = push.holder == self.epoch
-                if self.add_count(now, pool, peer, passed, knows, push.at_us if knows else now):
-                    asked.append(passed.tenant)
+                knows_epoch = push.holder == self.epoch
+                if self.add_count(now, pool, peer, report, knows_epoch, push.at_us if knows_epoch else now):
+                    requested.append(report.tenant)
         peer.reserved_silence_us = 0.0
         self.confirm_answer(peer, push.heard)
-        return self.totals_for(now, push, peer, asked)
+        return self.totals_for(now, push, peer, requested)
 
     def confirm_answer(self, peer: ReportingPeer, number: int) -> None:
         """Take the confirmation of an answer: limits of older ones no longer hold."""
@@ -232,17 +234,19 @@
             if grant is None or len(grant.unconfirmed) < 2:
                 peer.unconfirmed_tenants.discard(name)
 
-    def totals_for(self, now: int, push: Push, peer: ReportingPeer, asked: list[str]) -> Totals:
+    def totals_for(self, now: int, push: Push, peer: ReportingPeer, requested: list[str]) -> Totals:
         """Return totals and grants: for the tenants pushed, and for every one that is exhausted."""
-        answer = Totals(number=push.number, life=self.epoch, whole=self.is_complete, ingresses=self.ingresses)
-        answer.silent, answer.now_us = self.silent_peers, now
+        message = Totals(
+            number=push.number, life=self.epoch, whole=self.is_complete, ingresses=self.ingresses
+        )
+        message.silent, message.now_us = self.silent_peers, now
         if self.is_complete and peer is self.peers[peer.node][-1]:
-            named = set(asked)
-            answer.totals.extend(self.grant_to(now, name, peer, True, push.number) for name in asked)
+            named = set(requested)
+            message.totals.extend(self.grant_to(now, name, peer, True, push.number) for name in requested)
             for name, quota in self.tenants.items():
                 if name not in named and self.update_exhausted(now, name, quota):
-                    answer.totals.append(self.grant_to(now, name, peer, False, push.number))
-        return answer
+                    message.totals.append(self.grant_to(now, name, peer, False, push.number))
+        return message
 
     def peer_for(self, now: int, push: Push) -> ReportingPeer:
         """Return the record of the incarnation that pushes."""
@@ -273,7 +277,7 @@
                 grant.expires_at = NEVER
 
     def add_count(
-        self, now: int, quota: TenantQuota, peer: ReportingPeer, passed: Passed, knows: bool, at: int
+        self, now: int, quota: TenantQuota, peer: ReportingPeer, report: Passed, knows_epoch: bool, at: int
     ) -> bool:
         """Add what is new in a running count.
 
@@ -281,32 +285,32 @@
         :returns: False where it cannot be used: it counts from before this coordinator's time, not saying how
             much
         """
-        if passed.low < min(
+        if report.low < min(
             0.0, quota.reported_deficit + quota.shape.gained(now - quota.reported_deficit_at)
         ):
-            quota.reported_deficit, quota.reported_deficit_at = float(passed.low), now
-        grant = peer.grants.get(passed.tenant)
-        told = passed.recent + passed.before
+            quota.reported_deficit, quota.reported_deficit_at = float(report.low), now
+        grant = peer.grants.get(report.tenant)
+        reported = report.recent + report.before
         if grant is None or not grant.has_report:
-            if not told and not knows:
+            if not reported and not knows_epoch:
                 return False
-            new = told
+            new = reported
         else:
-            new = max(0, passed.count - grant.count)
-            if told:
+            new = max(0, report.count - grant.count)
+            if reported:
                 # Safety: a tenant that left the configuration and came back counts on from a higher place.
-                new = min(new, told)
+                new = min(new, reported)
         if grant is None:
-            grant = peer.grants[passed.tenant] = QuotaGrant(passed.count, 0, recent_use_at=now)
+            grant = peer.grants[report.tenant] = QuotaGrant(report.count, 0, recent_use_at=now)
         else:
             quota.granted -= grant.remaining() if grant.expires_at > NEVER else 0
-            grant.count, grant.has_report = max(grant.count, passed.count), True
+            grant.count, grant.has_report = max(grant.count, report.count), True
             quota.granted += grant.remaining() if grant.expires_at > NEVER else 0
-        kept = quota.shape.gained(int(peer.reserved_silence_us)) / self.ingresses
-        quota.available -= max(0.0, new - kept)
+        reserved = quota.shape.gained(int(peer.reserved_silence_us)) / self.ingresses
+        quota.available -= max(0.0, new - reserved)
         index = min(at, now) // quota.shape.length_us
         quota.windows.roll(now // quota.shape.length_us)
-        fresh = min(new, passed.count - passed.ended)
+        fresh = min(new, report.count - report.ended)
         quota.windows.add(index - 1, new - fresh)
         quota.windows.add(index, fresh)
         gain = new or REJECTED_WEIGHT
@@ -318,15 +322,18 @@
     def update_exhausted(self, now: int, name: str, quota: TenantQuota) -> bool:
         """Return whether too little is left to let ingresses admit requests without a grant."""
         self.refill(now, quota)
-        kept = reserved_requests(quota.shape, self.ingresses)
+        reserved = reserved_requests(quota.shape, self.ingresses)
         if quota.is_exhausted:
             # Safety: ingresses with a ceiling of nothing have their reserves again when it ends.
-            kept += max(
+            reserved += max(
                 0.0, quota.granted - quota.active_grants * first_allowance(quota.shape, self.ingresses)
             )
-        was, quota.is_exhausted = quota.is_exhausted, quota.available + quota.shape.advance < kept
+        was_exhausted, quota.is_exhausted = (
+            quota.is_exhausted,
+            quota.available + quota.shape.advance < reserved,
+        )
         quota.is_exhausted = quota.is_exhausted or now - quota.exhausted_at < MIN_EXHAUSTED_US
-        if quota.is_exhausted and not was:
+        if quota.is_exhausted and not was_exhausted:
             quota.exhausted_at = now
             if is_low_quota(quota.shape, self.ingresses):
                 # Safety: not all first allowances are reserved: ingresses must be told before they use them.
@@ -339,30 +346,30 @@
         """
         if not self.pending_alarms:
             return None
-        told = Totals(
+        message = Totals(
             life=self.epoch, now_us=now, totals=[Total(tenant=name) for name in self.pending_alarms]
         )
         self.pending_alarms.clear()
-        return told
+        return message
 
-    def grant_to(self, now: int, name: str, peer: ReportingPeer, asked: bool, number: int) -> Total:
+    def grant_to(self, now: int, name: str, peer: ReportingPeer, requested: bool, number: int) -> Total:
         """Grant an ingress what it may admit of a tenant, as a limit on its running count."""
         quota = self.tenants[name]
-        tight = self.update_exhausted(now, name, quota)
+        is_exhausted = self.update_exhausted(now, name, quota)
         grant = peer.grants.get(name)
         if grant is None:
             # A ceiling below any count.
             grant = peer.grants[name] = QuotaGrant(0, 0, has_report=False, recent_use_at=now)
-        may = self.share_for(quota, grant, now, asked)
+        allowed = self.share_for(quota, grant, now, requested)
         if grant.expires_at > NEVER:
             quota.granted -= grant.remaining()
         else:
             quota.active_grants += 1
             grant.unconfirmed.clear()
-        ceiling = grant.count + may
-        if not tight and grant.unconfirmed:
-            ceiling = max(ceiling, grant.unconfirmed[-1][1])
-        grant.set_limit(number, ceiling)
+        limit = grant.count + allowed
+        if not is_exhausted and grant.unconfirmed:
+            limit = max(limit, grant.unconfirmed[-1][1])
+        grant.set_limit(number, limit)
         if len(grant.unconfirmed) > 1:
             peer.unconfirmed_tenants.add(name)
         grant.expires_at = now + GRANT_TTL_US
@@ -370,24 +377,24 @@
         quota.expirations.append((grant.expires_at, peer, grant))
         quota.windows.roll(now // quota.shape.length_us)
         windows, level = quota.windows, min(0, int(quota.available))
-        total = Total(tenant=name, ceiling=ceiling, level=level)
+        total = Total(tenant=name, ceiling=limit, level=level)
         total.current, total.previous = windows.current, windows.previous
         return total
 
-    def share_for(self, quota: TenantQuota, grant: QuotaGrant, now: int, asked: bool) -> int:
+    def share_for(self, quota: TenantQuota, grant: QuotaGrant, now: int, requested: bool) -> int:
         """Return how many requests an ingress may admit of a tenant."""
-        kept = reserved_requests(quota.shape, self.ingresses) / self.ingresses
-        free = self.unreserved(quota) + (grant.remaining() if grant.expires_at > NEVER else kept)
-        if not asked:
+        reserved = reserved_requests(quota.shape, self.ingresses) / self.ingresses
+        free = self.unreserved(quota) + (grant.remaining() if grant.expires_at > NEVER else reserved)
+        if not requested:
             # Safety: a tenant of few requests comes now here, now there.
             return int(grant.has_report and free >= 1.0 + grant.remaining())
-        base = 0.0 if quota.is_exhausted else kept
+        base = 0.0 if quota.is_exhausted else reserved
         divided = quota.available + quota.shape.advance - base * self.ingresses
-        mine = decayed(grant.recent_use, now - grant.recent_use_at)
-        share = mine / max(1e-9, decayed(quota.recent_use, now - quota.recent_use_at))
+        own_use = decayed(grant.recent_use, now - grant.recent_use_at)
+        share = own_use / max(1e-9, decayed(quota.recent_use, now - quota.recent_use_at))
         share = (1.0 - EVEN_RATIO) * min(1.0, share) + EVEN_RATIO / max(1, quota.active_grants)
         # Safety: what lies unused at one ingress is missing where the next request comes.
-        may = min(free, base + min(share * max(0.0, divided), MIN_NEED_REQUESTS + NEED_RATIO * mine))
+        allowed = min(free, base + min(share * max(0.0, divided), MIN_NEED_REQUESTS + NEED_RATIO * own_use))
         if not quota.is_exhausted:
-            return int(max(may, first_allowance(quota.shape, self.ingresses)))
-        return int(may) if may >= 1.0 else int(free >= 1.0)
+            return int(max(allowed, first_allowance(quota.shape, self.ingresses)))
+        return int(allowed) if allowed >= 1.0 else int(free >= 1.0)
--- a/vetchusher/quota/local_quota.py
+++ b/vetchusher/quota/local_quota.py
@@ -289,8 +289,8 @@
             return
         for number in [n for n in self.pending_pushes if n < totals.number]:
             del self.pending_pushes[number]
-        new_holder = totals.life != self.coordinator_epoch
-        if new_holder:
+        is_new_coordinator = totals.life != self.coordinator_epoch
+        if is_new_coordinator:
             self.forget_alarms()
         self.coordinator_epoch, self.last_answered_number, self.answered_at = (
             totals.life,
@@ -304,7 +304,7 @@
         self.confirm_counts(push, totals.life)
         if totals.whole:
             self.apply_totals(now, push, totals)
-        elif new_holder:
+        elif is_new_coordinator:
             self.fall_back_to_shares(now)
 
     def forget_alarms(self) -> None:
@@ -313,12 +313,12 @@
         for usage in self.tenants.values():
             usage.alarmed_at = NEVER
 
-    def confirm_counts(self, push: PendingPush, life: int) -> None:
+    def confirm_counts(self, push: PendingPush, epoch: int) -> None:
         """Note that a coordinator has counted a push."""
         for name, (count, opening) in push.counts.items():
             usage = self.tenants.get(name)
-            if usage is not None and (opening or usage.known_to_epoch == life):
-                usage.acknowledged, usage.known_to_epoch = max(usage.acknowledged, count), life
+            if usage is not None and (opening or usage.known_to_epoch == epoch):
+                usage.acknowledged, usage.known_to_epoch = max(usage.acknowledged, count), epoch
 
     def apply_totals(self, now: int, push: PendingPush, totals: Totals) -> None:
         """Take totals and grants of an answer that holds what all ingresses admitted."""
--- a/vetchusher/quota/windows.py
+++ b/vetchusher/quota/windows.py
@@ -85,8 +85,8 @@
 
 def worst_case_ratio(shape: QuotaShape, bounds: QuotaBounds) -> float:
     """Return the most that may be admitted in the rule's window, as a ratio of what it allows."""
-    held = shape.rate * bounds.window_s
-    return (held + shape.depth + shape.advance) / (held + shape.allowance_above_rate)
+    by_rate = shape.rate * bounds.window_s
+    return (by_rate + shape.depth + shape.advance) / (by_rate + shape.allowance_above_rate)
 
 
 RESERVED_RATIO = 0.6  # of depth and ahead: what ingresses without a grant may take, all together
--- a/vetchusher/routing/claims.py
+++ b/vetchusher/routing/claims.py
@@ -20,7 +20,7 @@
     ANSWERED = "answered"  # whole and ours: any status that claims nothing else
     SERVER_ERROR = "server_error"  # the same with a 5xx
     RESET = "reset"  # lost after it was written, before a whole answer
-    SILENT = "silent"  # its time went by
+    TIMED_OUT = "silent"  # its time went by
     GARBLED = "garbled"  # bytes that are no answer, or one that cannot be true
     CANCELLED = "cancelled"  # not wanted any more
 
@@ -39,7 +39,7 @@
     AttemptOutcome.ANSWERED: Claim.RAN,
     AttemptOutcome.SERVER_ERROR: Claim.RAN,
     AttemptOutcome.RESET: Claim.MAY_HAVE_RUN,
-    AttemptOutcome.SILENT: Claim.MAY_HAVE_RUN,
+    AttemptOutcome.TIMED_OUT: Claim.MAY_HAVE_RUN,
     AttemptOutcome.GARBLED: Claim.MAY_HAVE_RUN,
     AttemptOutcome.CANCELLED: Claim.MAY_HAVE_RUN,
 }
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -190,18 +190,18 @@
         self.open_attempts[number], self.sent_at[number] = server, now
         choice = self.context.choice
         choice.on_sent(now, server.instance)
-        left = self.deadline - now
+        remaining_us = self.deadline - now
         near = choice.zones.get(server.zone) == choice.region
         headers = [
             ("Host", self.host),
             *self.forwarded_headers,
             (ATTEMPT_ID, self.id),
-            (TIME_REMAINING, str(max(1, left // 1000 - SERVER_MARGIN_MS))),
+            (TIME_REMAINING, str(max(1, remaining_us // 1000 - SERVER_MARGIN_MS))),
             (TARGET_INSTANCE, server.instance),
         ]
         if self.tenant is not None:
             headers.append((SUBSCRIBER, self.tenant.name))
-        connect = min(NEAR_CONNECT_US if near else FAR_CONNECT_US, left // CONNECT_DIVISOR)
+        connect = min(NEAR_CONNECT_US if near else FAR_CONNECT_US, remaining_us // CONNECT_DIVISOR)
         return SendAttempt(number, server, headers, connect, self.deadline, not self.repeatable)
 
     def _give_up(self, now: int) -> list[Action]:
@@ -220,6 +220,6 @@
         wait = int(self.route.target_ms * 100 * (0.5 + self.context.rng.random()))
         return [Reject(Error(code, text, max(10_000, wait)))]
 
-    def _log(self, note: LogEvent | None) -> None:
-        if note is not None:
-            self.events.append(note)
+    def _log(self, event: LogEvent | None) -> None:
+        if event is not None:
+            self.events.append(event)
--- a/vetchusher/routing/server_selection.py
+++ b/vetchusher/routing/server_selection.py
@@ -48,9 +48,9 @@
 EJECTION_US, MAX_EJECTION_US = 400_000, 8_000_000
 RANDOM_DRAWS = 6  # before all servers are looked at
 
-_FULL = frozenset({AttemptOutcome.NOT_EXECUTED})
-_FAILED = frozenset(
-    {AttemptOutcome.RESET, AttemptOutcome.GARBLED, AttemptOutcome.SILENT, AttemptOutcome.SERVER_ERROR}
+SATURATED = frozenset({AttemptOutcome.NOT_EXECUTED})
+FAILURES = frozenset(
+    {AttemptOutcome.RESET, AttemptOutcome.GARBLED, AttemptOutcome.TIMED_OUT, AttemptOutcome.SERVER_ERROR}
 )
 
 
@@ -149,7 +149,7 @@
             for states in regions.values():
                 for state in states:
                     server = state.server
-                    state.preferred = self.subsets.holds(server.instance, server.zone, len(states))
+                    state.preferred = self.subsets.contains(server.instance, server.zone, len(states))
         self.mean_times = {
             key: m for key, m in self.mean_times.items() if key[1] in self.usable.get(key[0], {})
         }
@@ -326,16 +326,16 @@
         self._record_health(now, state, outcome, took_us)
         if outcome is AttemptOutcome.MISDIRECTED:
             state.is_misdirected = True
-        elif outcome in _FULL or (reset_at_once and outcome is AttemptOutcome.RESET):
+        elif outcome in SATURATED or (reset_at_once and outcome is AttemptOutcome.RESET):
             state.open_limit = max(1.0, min(state.open_limit, state.open_requests + 1.0) * SHRINK)
-            if outcome in _FULL:
+            if outcome in SATURATED:
                 state.failures = 0
                 return None
             return self._record_failure(now, state, 1)
         elif outcome is AttemptOutcome.NO_CONNECTION:
             self._record_time(now, state, took_us, failed=True)
             return self._record_failure(now, state, MAX_FAILURES_IN_ROW)
-        elif outcome in _FAILED:
+        elif outcome in FAILURES:
             self._record_time(now, state, took_us, failed=True)
             return self._record_failure(now, state, 1)
         elif outcome is AttemptOutcome.ANSWERED:
@@ -357,7 +357,7 @@
             hung
             or outcome is AttemptOutcome.ANSWERED
             or outcome is AttemptOutcome.NO_CONNECTION
-            or outcome in _FAILED
+            or outcome in FAILURES
         ):
             rate, failed = self._failure_rate(now, state), float(outcome is not AttemptOutcome.ANSWERED)
             state.failure_rate, state.failure_rate_at = rate + FAILURE_WEIGHT * (failed - rate), now
--- a/vetchusher/routing/subsets.py
+++ b/vetchusher/routing/subsets.py
@@ -85,7 +85,7 @@
         """Forget the servers that are gone."""
         self.places = {name: place for name, place in self.places.items() if name in instances}
 
-    def holds(self, instance: str, zone: str, servers: int) -> bool:
+    def contains(self, instance: str, zone: str, servers: int) -> bool:
         """Whether this ingress prefers that server, one of so many of its service and region.
 
         An ingress that no row names yet prefers all.
