--- a/benchmarks/capacity/configurations.py
+++ b/benchmarks/capacity/configurations.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from vetchusher.directory.naming import Entrance, encode_ingress
+from vetchusher.directory.naming import ServingIngress, encode_ingress
 from vetchusher.discovery.reader import KnownServer, ListedServer, write_row
 from vetchusher.distribution import wire_pb2 as wire
 
@@ -109,7 +109,9 @@
     for number in range(ingresses):
         zone = names[number % len(names)]
         ip = ingress_ip(number)
-        rows[f"e{number}"] = encode_ingress(ip, Entrance(f"e{number}", zone, zones[zone], f"{ip}:80"), True)
+        rows[f"e{number}"] = encode_ingress(
+            ip, ServingIngress(f"e{number}", zone, zones[zone], f"{ip}:80"), True
+        )
     return rows
 
 
--- a/vetchusher/directory/naming.py
+++ b/vetchusher/directory/naming.py
@@ -48,8 +48,3 @@
         if serving and front:
             found.append(ServingIngress(node, str(zone), str(region), str(front)))
     return found
-
-
-# Former names, which node/edge_node.py imports.
-Entrance = ServingIngress
-entrances_of = serving_ingresses
--- a/vetchusher/node/edge_node.py
+++ b/vetchusher/node/edge_node.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Result, Success
 
-from vetchusher.directory.naming import Entrance, choose_addresses, entrances_of
+from vetchusher.directory.naming import ServingIngress, choose_addresses, serving_ingresses
 from vetchusher.directory.neighbours import choose_neighbours, decode_locations
 from vetchusher.directory.presence import RETENTION_FACTOR, TTL_S
 from vetchusher.discovery.reader import OWNER_LEASE_US, read_row
@@ -68,7 +68,7 @@
         self.proxy = Proxy(loop, settings, rng, self.quota, self.retry_budget, context.log_event)
         self.readiness = Readiness(loop, self.is_ready)
         self.servers: dict[str, tuple[bytes, Server]] = {}  # rows as told, and what they say
-        self.serving_ingresses: list[Entrance] = []  # who serves, as told
+        self.serving_ingresses: list[ServingIngress] = []  # who serves, as told
         self.version = 0
         self.configuration_digest: bytes | None = b""  # row of the configuration in force
         self.parser = ConfigurationParser(loop)
@@ -130,7 +130,7 @@
             self.quota.set_ingresses(now, ingresses, self.settings.node_name in self.directory.rows)
             self.retry_budget.set_ingresses(ingresses)
             rows = self.directory.values()
-            places, self.serving_ingresses = decode_locations(rows), entrances_of(rows)
+            places, self.serving_ingresses = decode_locations(rows), serving_ingresses(rows)
             near = {name: at.zone for name, at in places.items() if at.region == self.settings.region}
             self.proxy.set_ingresses(near)
             self.subscriber.set_neighbours(
--- a/vetchusher/routing/claims.py
+++ b/vetchusher/routing/claims.py
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NextStep:
-    """:param again: another server may be tried
+    """:param may_retry: another server may be tried
     :param otherwise: how it ends if that is not done; nothing: with the server's answer
     """
 
