--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -25,7 +25,7 @@
 from vetchusher.distribution import wire_pb2 as wire
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.emulator.fleet_world import MS, SECOND
-from vetchusher.emulator.system.process_loops import Clockwork, Net, ProcessLoop, Wire
+from vetchusher.emulator.system.process_loops import Net, ProcessLoop, VirtualClock, Wire
 from vetchusher.errors import Error
 from vetchusher.events import Event, LogEvent
 from vetchusher.node import api_calls
@@ -96,7 +96,7 @@
 class CountingNet(Net):
     """Counts each message by its sender, its kind and its link."""
 
-    def __init__(self, clock: Clockwork, link: Callable[[str, str], str]) -> None:
+    def __init__(self, clock: VirtualClock, link: Callable[[str, str], str]) -> None:
         super().__init__(clock, lambda here, there: WAYS[link(here, there)])
         self.link = link
         self.traffic = Traffic()
@@ -218,7 +218,7 @@
     def __init__(self, size: Size, folder: Path, seed: int = 1, seeds: int = 0) -> None:
         """:param seeds: members that the settings name, the others join; 0: all"""
         self.size, self.folder, self.seeds = size, folder, seeds or size.members
-        self.clock = Clockwork(seed)
+        self.clock = VirtualClock(seed)
         self.rng = random.Random(seed)
         self.zones = made.zones_of(size.regions, size.zones_each)
         self.net = CountingNet(self.clock, self.link)
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -24,7 +24,7 @@
 from vetchusher.emulator.control.cases import CASES
 from vetchusher.emulator.control.mutations import PLANTED, planted
 from vetchusher.emulator.control.scenarios import Story
-from vetchusher.emulator.control.search import Trouble, drawn, raced
+from vetchusher.emulator.control.search import FaultSearch, drawn, raced
 from vetchusher.emulator.explorer import explore as explored
 from vetchusher.emulator.explorer import wander
 
@@ -74,7 +74,7 @@
 
 
 def searched(seed: int, races: bool = False) -> Run:
-    trouble = Trouble(raced(seed) if races else drawn(seed))
+    trouble = FaultSearch(raced(seed) if races else drawn(seed))
     wrong = trouble.run()
     world = trouble.world
     writes, reads = world.history.writes, world.history.reads
@@ -261,7 +261,7 @@
     """The same, counted in events."""
     total = 0
     for number, seed in enumerate(seeds, 1):
-        trouble = Trouble(drawn(seed))
+        trouble = FaultSearch(drawn(seed))
         wrong = trouble.run()
         total += trouble.world.played
         if wrong:
--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -36,7 +36,7 @@
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import Source
 from vetchusher.distribution.stamps import ZERO_STAMP
-from vetchusher.emulator.control.changes import TROUBLES, ChangesDay, Return, place
+from vetchusher.emulator.control.changes import FAULTS, ChangesDay, Return, place
 from vetchusher.settings.configuration import read_configuration
 
 from .table import keep_table
@@ -309,8 +309,8 @@
     ]
     for routes, machines in dict.fromkeys((one.routes, one.machines) for one in days):
         group = [one for one in days if (one.routes, one.machines) == (routes, machines)]
-        for trouble in TROUBLES:
-            back = [each for one in group for each in one.returns if each.trouble == trouble]
+        for trouble in FAULTS:
+            back = [each for one in group for each in one.returns if each.fault == trouble]
             reads = [each.read_us / 1000 for each in back if each.read_us is not None]
             copies = [each.copy_us / 1000 for each in back if each.copy_us is not None]
             waits = [each for one in group for each in one.waits.get(trouble, [])]
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -637,7 +637,7 @@
 
         def ask(ip, frame, patience_s):
             if frame.order.WhichOneof("order") == question:
-                self.world.cut(self.passing, [self.primary])
+                self.world.cut_links(self.passing, [self.primary])
             return real(ip, frame, patience_s)
 
         part.context.network.request = ask
@@ -653,7 +653,7 @@
         self.acknowledged(True)
         self.acknowledged(False)
         self.run_for(300 * MS)
-        self.world.join(self.passing)
+        self.world.restore_links(self.passing)
         self.run_for(SECOND)
         return self.in_force()
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -35,7 +35,7 @@
 from vetchusher.distribution.wire_pb2 import ControlMessage, Drop, LeaseRenewalReply, Stamp, VoteReply, Write
 from vetchusher.emulator.control.mutations import PLANTED, planted
 from vetchusher.emulator.control.scenarios import Story
-from vetchusher.emulator.control.search import Trouble, drawn, raced
+from vetchusher.emulator.control.search import FaultSearch, drawn, raced
 from vetchusher.emulator.control.world import Scene, World
 from vetchusher.emulator.fleet_world import MS, SECOND
 from vetchusher.errors import ErrorCode
@@ -570,9 +570,9 @@
 
 def played(name: str, seed: int) -> list[str]:
     if name == "random search":
-        return Trouble(drawn(seed)).run()
+        return FaultSearch(drawn(seed)).run()
     if name == "races":
-        return Trouble(raced(seed)).run()
+        return FaultSearch(raced(seed)).run()
     text, scene = STORIES[name]
     return Story(text, replace(scene, seed=seed)).run()
 
@@ -587,7 +587,7 @@
         self.assertEqual({}, {seed: found for seed, found in wrong.items() if found})
 
     def test_eight_operators_who_choose_one_anothers_numbers(self) -> None:
-        runs = [Trouble(raced(seed)) for seed in range(1, 4)]
+        runs = [FaultSearch(raced(seed)) for seed in range(1, 4)]
         self.assertEqual([[]] * len(runs), [run.run()[:1] for run in runs])
         for run in runs:
             self.assertTrue(len(run.world.judge.confirmed) > HUNDREDS)
@@ -607,7 +607,7 @@
             for ip in world.seeds:
                 world.start(ip, first=True)
             world.run(500 * MS)
-            self.assertEqual(1, sum(world.holds(ip) for ip in world.seeds))
+            self.assertEqual(1, sum(world.is_leader(ip) for ip in world.seeds))
 
 
 class Parts(testtools.TestCase):
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -8,7 +8,7 @@
 import testtools
 
 from vetchusher.emulator.control.call_history import Read, Wrote, versions_wrong
-from vetchusher.emulator.control.cases import CASES, calm, settled, step
+from vetchusher.emulator.control.cases import CASES, calm, committed, step
 from vetchusher.emulator.control.encoding_cases import clone, digest
 from vetchusher.emulator.control.mutations import planted
 from vetchusher.emulator.explorer import TIME, explore, wander
@@ -51,7 +51,7 @@
                 self.assertTrue(wander(lambda start=start: start, 60, 120, 1).wrong, guard)
 
     def test_a_copied_member_is_another(self) -> None:
-        state = settled()
+        state = committed()
         member = state.cells[0].member
         assert member is not None
         before, copied = digest(member), clone(member)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -390,7 +390,7 @@
             old = imported_state_of(copy_in(world), 0)
             acked(world, 6)
             world.wipe(wiped)
-            world.floors[wiped] = old
+            world.imported_states[wiped] = old
             world.start(wiped)
             world.run(world.at + 6 * SECOND)
             held = world.machines[wiped].disk
@@ -406,7 +406,7 @@
             for ip in world.seeds:
                 world.wipe(ip)
             world.judge.wrong.clear()
-            world.floors = {
+            world.imported_states = {
                 ip: PersistentState(
                     floor.voted_epoch + n, copy_state(floor.state, (floor.voted_epoch + n, 0))
                 )
--- a/vetchusher/emulator/control/cases.py
+++ b/vetchusher/emulator/control/cases.py
@@ -54,8 +54,8 @@
     raise AssertionError("a start was not reached")
 
 
-def holds(ip: str) -> Callable[[State], bool]:
-    return lambda state: state.hall.look(state.cell(ip), state.at).holds
+def is_leader(ip: str) -> Callable[[State], bool]:
+    return lambda state: state.hall.look(state.cell(ip), state.at).is_leader
 
 
 LAVISH = Budget(
@@ -81,14 +81,14 @@
     return state
 
 
-def settled(timing: Timing = TIMING) -> State:
+def committed(timing: Timing = TIMING) -> State:
     """The first machine leads, r1 is acknowledged and on all disks, no message is on its way."""
     state = fresh(timing=timing)
     for cell in state.cells:
         if cell.place == 3:
             state = step(state, TIME)  # later than the others, so that it does not ask first
         state.put(state.hall.start(cell, state.at, first=True))
-    state = until(state, holds("1"))
+    state = until(state, is_leader("1"))
     state.operators = (Operator(replacing(1)),)
     state = until(step(state, "order 1 to 1"), lambda s: s.operators[0].done)
     state = calm(step(calm(state), TIME))
@@ -98,13 +98,13 @@
 
 def writing() -> State:
     """The same, with both changes on their way to the backups."""
-    state = step(settled(), "order 1 to 1")
+    state = step(committed(), "order 1 to 1")
     return step(state, "order 2 to 1")
 
 
 def primary_lost() -> State:
     """The first machine is down and its lease over; both others may ask."""
-    state = step(settled(), "1 crashes")
+    state = step(committed(), "1 crashes")
     for _ in range(4):
         state = step(calm(state), TIME)
     return state
@@ -112,7 +112,7 @@
 
 def unfinished() -> State:
     """r2 is on the primary's disk alone, the power goes everywhere, and all have started again."""
-    state = step(settled(), "order 1 to 1")
+    state = step(committed(), "order 1 to 1")
     state = step(step(state, "1 has saved"), "power lost")
     state.messages = ()
     for ip in "123":
@@ -130,7 +130,7 @@
 
 def disk_behind() -> State:
     """All that r2 needs has happened but for the primary's own save, as the power goes; the third is off."""
-    state = step(settled(), "order 1 to 1")
+    state = step(committed(), "order 1 to 1")
     while True:
         ready = [taken for how, taken in state.ready() if how != "1 has saved"]
         if not ready:
@@ -144,14 +144,14 @@
 
 def emptied() -> State:
     """The first machine has lost its disk right after an acknowledgement, and has started again."""
-    state = step(settled(), "order 1 to 1")
+    state = step(committed(), "order 1 to 1")
     state = until(state, lambda s: s.operators[0].done)
     return step(step(state, "1 loses its disk"), "1 starts")
 
 
 def cut_off() -> State:
     """The primary hears nobody any more, but is heard."""
-    state = settled()
+    state = committed()
     for ip in "23":
         state = step(state, f"{ip} to 1 cut")
     return state
@@ -159,7 +159,7 @@
 
 def alone() -> State:
     """The primary is cut off both ways, its lease nearly over; the third asks without a pause."""
-    state = settled(replace(TIMING, election_jitter_us=2 * UNIT))
+    state = committed(replace(TIMING, election_jitter_us=2 * UNIT))
     for ip in "23":
         state = step(step(state, f"{ip} to 1 cut"), f"1 to {ip} cut")
     return step(step(state, TIME), TIME)
@@ -167,18 +167,18 @@
 
 def stopped() -> State:
     """The primary stopped with answers on their way, and another leads since."""
-    state = step(step(settled(), TIME), "1 stops")
-    return until(state, lambda s: holds("2")(s) or holds("3")(s))
+    state = step(step(committed(), TIME), "1 stops")
+    return until(state, lambda s: is_leader("2")(s) or is_leader("3")(s))
 
 
 def restarted() -> State:
     """A voter crashes inside the lease that it gave, and starts again."""
-    return step(step(step(settled(), "3 crashes"), "3 starts"), "order 1 to 1")
+    return step(step(step(committed(), "3 crashes"), "3 starts"), "order 1 to 1")
 
 
 def evacuating() -> State:
     """Both operators order evacuations."""
-    state = settled()
+    state = committed()
     state.operators = (
         Operator(EvacuationOrder("north", True)),
         Operator(EvacuationOrder("south", True)),
@@ -188,7 +188,7 @@
 
 def one_number() -> State:
     """Two bodies under one number are on their way, and one of them is sent twice."""
-    state = settled()
+    state = committed()
     bodies = (b"r2", b"r2, another", b"r2")
     state.operators = tuple(Operator(ReplaceOrder(2, body)) for body in bodies)
     for place in (1, 2):
@@ -201,7 +201,7 @@
     """:param troubles: the budget beside `steps` and `delays`"""
 
     begin: Callable[[], State]
-    troubles: Budget
+    faults: Budget
 
     def start(self, steps: int = 8, delays: int | None = None, times: int = 1) -> State:
         """:param times: by how much of each trouble there may be more"""
@@ -215,14 +215,14 @@
             "stops",
             "ends",
         )  # no more disks are lost
-        more = {name: getattr(self.troubles, name) * times for name in often}
-        state.budget = replace(self.troubles, steps=steps, delays=delays, **more)
+        more = {name: getattr(self.faults, name) * times for name in often}
+        state.budget = replace(self.faults, steps=steps, delays=delays, **more)
         return state
 
 
 CASES = {
     "first start": Case(first_start, Budget(crashes=1)),
-    "settled": Case(settled, Budget(crashes=1, wipes=1, cuts=1)),
+    "settled": Case(committed, Budget(crashes=1, wipes=1, cuts=1)),
     "writing": Case(writing, Budget(crashes=1, wipes=1, losses=1)),
     "writing, power lost": Case(writing, Budget(blackouts=1, losses=2)),
     "writing, disks refuse": Case(writing, Budget(blackouts=1, refusals=2)),
--- a/vetchusher/emulator/control/changes.py
+++ b/vetchusher/emulator/control/changes.py
@@ -25,9 +25,9 @@
 LINK_BYTES_S = 125_000_000
 DISK_BYTES_S = 120_000_000
 SYNC_US = 2 * MS
-WAY_US = 2 * MS
+LINK_DELAY_US = 2 * MS
 
-TROUBLES = (
+FAULTS = (
     "killed",
     "wiped",
     "ends",
@@ -39,7 +39,7 @@
     "primary's disk hangs",
 )
 GAP = 150 * MS  # between an acknowledgement and the next change
-REST = 2 * SECOND  # after a machine is level, until the next trouble
+PAUSE = 2 * SECOND  # after a machine is level, until the next trouble
 LEAST_AWAY = 600 * MS  # longer than a process takes that ends in order: it would be down for good
 MOST_AWAY = 4 * SECOND
 STEP = 5 * MS  # between two looks at a machine that comes back
@@ -49,7 +49,7 @@
 ANSWER_US = 200 * MS  # beyond the stated time of a trouble: messages, disks, the operator's next try
 AFTER = 100  # changes beyond a long absence
 PATIENCE = 400 * MS  # of the operator with an answer; then the same change is sent again
-KEPT_VERSIONS = 64  # bodies that the judge remembers
+RETAINED_VERSIONS = 64  # bodies that the judge remembers
 
 
 def place(rows: int, seed: int = 1, zones: tuple[str, ...] = ("east", "east", "west")) -> Scene:
@@ -61,7 +61,7 @@
         losses=1 if len(zones) == 3 else 2,
         loss=0.0,
         late=0.0,
-        most_us=WAY_US,
+        most_us=LINK_DELAY_US,
         disk_us=SYNC_US,
         body_rows=rows,
         link_bytes_s=LINK_BYTES_S,
@@ -87,7 +87,7 @@
     :param missed: changes while it was away
     """
 
-    trouble: str
+    fault: str
     ip: str
     missed: int
     read_us: int | None = None
@@ -134,11 +134,11 @@
 class ChangesDay:
     """It owns the world, the changes sent and the machines that came back."""
 
-    def __init__(self, scene: Scene, changes: int, troubles: tuple[str, ...] = TROUBLES) -> None:
+    def __init__(self, scene: Scene, changes: int, troubles: tuple[str, ...] = FAULTS) -> None:
         self.world = warmed(scene, MeasuredWorld)
         assert isinstance(self.world, MeasuredWorld)
         self.traffic = self.world.traffic
-        self.wanted, self.troubles = changes, troubles
+        self.wanted, self.faults = changes, troubles
         self.changes: list[Change] = []
         self.returns: list[Return] = []
         self.during = ""
@@ -150,9 +150,9 @@
         self.next_change()
         number = 0
         while self.done < self.wanted and not world.judge.wrong:
-            world.run(world.at + REST)
-            if self.troubles and self.done < self.wanted:
-                self.trouble(self.troubles[number % len(self.troubles)])
+            world.run(world.at + PAUSE)
+            if self.faults and self.done < self.wanted:
+                self.fault(self.faults[number % len(self.faults)])
                 number += 1
         return world.judge.wrong or world.history.wrong() or self.late()
 
@@ -164,7 +164,7 @@
         self.next_change()
         while self.done < changes and not world.judge.wrong:
             world.run(world.at + STEP)
-        self.mend(ip)
+        self.repair(ip)
         self.watch(Return(kind, ip, self.done))
         return world.judge.wrong or world.history.wrong() or self.late()
 
@@ -176,7 +176,7 @@
         for one in self.returns:
             level = max(one.read_us or LEVEL_WITHIN, one.copy_us or 0)
             if level > LEVEL_US:
-                found.append(f"{one.trouble}: machine {one.ip} was level after {level} us")
+                found.append(f"{one.fault}: machine {one.ip} was level after {level} us")
         return found
 
     def most_wait(self) -> int:
@@ -194,7 +194,7 @@
     def attempt(self, version: int) -> None:
         world = self.world
         ips = [ip for ip, machine in world.machines.items() if machine.member is not None]
-        ip = next((ip for ip in ips if world.holds(ip)), ips[version % len(ips)])
+        ip = next((ip for ip in ips if world.is_leader(ip)), ips[version % len(ips)])
 
         def answered(good: bool) -> None:
             if not good:
@@ -211,23 +211,23 @@
     def forget_old(self, version: int) -> None:
         """Bodies of some hundred kB each: the judge takes an old one for one that nobody sent."""
         judge = self.world.judge
-        judge.sent.pop(version - KEPT_VERSIONS, None)
-        while len(judge.committed) > KEPT_VERSIONS:
+        judge.sent.pop(version - RETAINED_VERSIONS, None)
+        while len(judge.committed) > RETAINED_VERSIONS:
             del judge.committed[next(iter(judge.committed))]
 
     # -- troubles ------------------------------------------------------------------------------
 
-    def trouble(self, kind: str) -> None:
+    def fault(self, kind: str) -> None:
         """One machine; it ends when that machine is level, or is given up."""
         world = self.world
-        primary = next((ip for ip in world.machines if world.holds(ip)), "1")
+        primary = next((ip for ip in world.machines if world.is_leader(ip)), "1")
         others = [ip for ip in world.machines if ip != primary]
         ip = primary if kind.startswith("primary") else world.rng.choice(others)
         self.during = kind
         missed = self.done
         self.strike(ip, kind.removeprefix("primary").removeprefix("'s").strip())
         world.run(world.at + world.rng.randrange(LEAST_AWAY, MOST_AWAY))
-        self.mend(ip)
+        self.repair(ip)
         self.watch(Return(kind, ip, self.done - missed))
 
     def strike(self, ip: str, kind: str) -> None:
@@ -244,14 +244,14 @@
             case "stands still":
                 world.freeze(ip)
             case "cut off":
-                world.cut(ip)
+                world.cut_link(ip)
 
-    def mend(self, ip: str) -> None:
+    def repair(self, ip: str) -> None:
         world = self.world
         world.disk_well(ip)
-        world.join(ip)
+        world.restore_link(ip)
         if world.machines[ip].member is None:
-            world.machines[ip].told = (ZERO_STAMP, 0)  # a process that starts has told nothing yet
+            world.machines[ip].sent_messages = (ZERO_STAMP, 0)  # a process that starts has told nothing yet
             world.start(ip)
         elif world.machines[ip].frozen:
             world.thaw(ip)
@@ -266,18 +266,18 @@
                 self.returns.remove(one)
                 return
             world.run(world.at + STEP)
-            if one.read_us is None and machine.told[0] >= newest:
+            if one.read_us is None and machine.sent_messages[0] >= newest:
                 one.read_us = world.at - began
             if one.copy_us is None and copied(machine) >= newest:
                 one.copy_us = world.at - began
-            if one.read_us is not None and (one.copy_us is not None or not self.taught(one.ip)):
+            if one.read_us is not None and (one.copy_us is not None or not self.is_replicated_to(one.ip)):
                 return
 
-    def taught(self, ip: str) -> bool:
+    def is_replicated_to(self, ip: str) -> bool:
         """Whether a primary that leads wants a copy there."""
         for machine in self.world.machines.values():
             work = machine.member.primary_role if machine.member is not None else None
-            if work is not None and self.world.holds(machine.ip):
+            if work is not None and self.world.is_leader(machine.ip):
                 return machine.ip == ip or ip in work.replicator.targets(machine.now(self.world.at))
         return True
 
--- a/vetchusher/emulator/control/encoding_cases.py
+++ b/vetchusher/emulator/control/encoding_cases.py
@@ -53,12 +53,12 @@
     def __init__(self, place: int, life: int) -> None:
         super().__init__(0)
         self.place = place
-        self.life = life
+        self.incarnation = life
 
     def randrange(self, start: int, stop: int | None = None, step: int = 1) -> int:
         least, most = (0, start) if stop is None else (start, stop)
         told_apart = most - least > LONG  # else it is a pause
-        return least + (self.place * UNIT + self.life * told_apart) % (most - least)
+        return least + (self.place * UNIT + self.incarnation * told_apart) % (most - least)
 
     def random(self) -> float:
         return 0.5
@@ -148,12 +148,12 @@
     place: int
     zone: str
     member: Replica | None = None
-    life: int = 0
+    incarnation: int = 0
     disk: PersistentState | None = None
     saving: Persist | None = None
     stopped: bool = False
     slow: int = 0
-    told: tuple[StampTuple, int] = (ZERO_STAMP, 0)
+    sent_messages: tuple[StampTuple, int] = (ZERO_STAMP, 0)
     key: bytes = b""
 
     @property
@@ -169,8 +169,8 @@
     :param body: that it would read out
     """
 
-    holds: bool = False
-    leads: bool = False
+    is_leader: bool = False
+    is_primary: bool = False
     in_force: int | None = None
     body: bytes | None = None
 
@@ -194,17 +194,17 @@
         return known
 
     def start(self, cell: Cell, at: int, first: bool = False) -> Cell:
-        life = cell.life + 1
+        life = cell.incarnation + 1
         settings = ReplicaSettings(cell.ip, cell.zone, self.seeds, first, self.timing, LOSSES)
         member = Replica(settings, cell.disk, Chance(cell.place - 1, life), at - cell.slow)
-        return self.keep(replace(cell, member=member, life=life, saving=None, stopped=False))
+        return self.keep(replace(cell, member=member, incarnation=life, saving=None, stopped=False))
 
     def down(self, cell: Cell, landed: bool = False, wiped: bool = False) -> Cell:
         """:param landed: the save under way is on the disk"""
         disk = cell.saving.contents if landed and cell.saving is not None else cell.disk
         disk = None if wiped else disk
         return self.keep(
-            replace(cell, member=None, saving=None, stopped=False, told=(ZERO_STAMP, 0), disk=disk)
+            replace(cell, member=None, saving=None, stopped=False, sent_messages=(ZERO_STAMP, 0), disk=disk)
         )
 
     def synced(self, cell: Cell, ok: bool) -> Cell:
@@ -225,8 +225,10 @@
         out = member.handle(at - cell.slow, event)
         saves = [o for o in out if isinstance(o, Persist)]
         assert len(saves) + (cell.saving is not None) <= 1, "two saves at once"
-        told = max([cell.told, *((at_(o.state), o.state.version) for o in out if isinstance(o, Committed))])
-        after = replace(cell, member=member, saving=saves[0] if saves else cell.saving, told=told)
+        told = max(
+            [cell.sent_messages, *((at_(o.state), o.state.version) for o in out if isinstance(o, Committed))]
+        )
+        after = replace(cell, member=member, saving=saves[0] if saves else cell.saving, sent_messages=told)
         return self.keep(after), tuple(o for o in out if not isinstance(o, Persist))
 
     def tick(self, cell: Cell, at: int) -> tuple[Cell, tuple[Output, ...]]:
@@ -255,5 +257,9 @@
                 ),
                 None,
             )
-        in_force = cell.told[1] if member.is_in_force(now, cell.told[0]) and not cell.stopped else None
+        in_force = (
+            cell.sent_messages[1]
+            if member.is_in_force(now, cell.sent_messages[0]) and not cell.stopped
+            else None
+        )
         return Look(holds, member.primary_ip == cell.ip, in_force, body)
--- a/vetchusher/emulator/control/explorer.py
+++ b/vetchusher/emulator/control/explorer.py
@@ -116,10 +116,10 @@
     """
 
     order: Order
-    tries: int = 2
+    attempts: int = 2
     number: int = 0
     to: str = ""
-    floor: int | None = None
+    committed_before: int | None = None
     done: bool = False
 
 
@@ -148,7 +148,7 @@
 
     def shot(self) -> bytes:
         messages = self.messages if self.budget.delays is not None else tuple(sorted(self.messages))
-        operators = tuple((o.tries, o.number, o.to, o.floor, o.done) for o in self.operators)
+        operators = tuple((o.attempts, o.number, o.to, o.committed_before, o.done) for o in self.operators)
         keys = tuple(c.key for c in self.cells)
         return digest(self.at, keys, messages, self.cuts, astuple(self.budget), operators, self.judged)
 
@@ -169,7 +169,7 @@
 
     def look(self) -> None:
         looks = [self.hall.look(cell, self.at) for cell in self.cells]
-        self.judge.held([c.ip for c, x in zip(self.cells, looks, strict=True) if x.holds])
+        self.judge.on_copy([c.ip for c, x in zip(self.cells, looks, strict=True) if x.is_leader])
         for cell, seen in zip(self.cells, looks, strict=True):
             if seen.in_force is not None:
                 self.judge.in_force(cell.ip, seen.in_force)
@@ -177,11 +177,11 @@
                 judge = self.judge
                 if judge.version_of(seen.body) != judge.read:
                     judge = self.judging()
-                judge.reads(seen.body, judge.floor())
+                judge.reads(seen.body, judge.committed_floor())
         # Before the first commit nothing was promised, and a disk that was never written is no loss.
         fault = unbearable(self.moment()) if self.judge.newest > ZERO_STAMP else None
         if fault:
-            self.judging().say(f"a loss that is tolerated would not be borne, {fault}")
+            self.judging().report(f"a loss that is tolerated would not be borne, {fault}")
 
     def moment(self) -> Moment:
         """For the closure check: whoever is down, still, cut off or lost its disk lately counts as lost."""
@@ -228,7 +228,7 @@
             elif isinstance(out, LogEvent) and out.event is Event.BECAME_PRIMARY:
                 epoch = out.facts["epoch"]
                 assert isinstance(epoch, int)
-                self.judging().led(epoch, f"{cell.ip}/{cell.life}")
+                self.judging().on_primary(epoch, f"{cell.ip}/{cell.incarnation}")
             elif isinstance(out, LogEvent) and out.event is Event.REPLICA_SET_ESTABLISHED:
                 assert cell.member is not None and cell.member.primary_role is not None
                 record = cell.member.primary_role.reconfiguration.current
@@ -247,9 +247,9 @@
             refused = in_conflict(out.outcome)
             self.operate(place, replace(operator, number=0, to="", done=ok or refused))
             if refused and isinstance(order, ReplaceOrder):
-                self.judging().refused(order.version, order.body)
+                self.judging().on_rejected(order.version, order.body)
             elif ok and isinstance(order, ReplaceOrder):
-                self.judging().acked(order.version, order.body, operator.floor)
+                self.judging().on_acknowledged(order.version, order.body, operator.committed_before)
             elif ok and isinstance(order, EvacuationOrder):
                 self.judging().expected[order.zone] = order.on
 
@@ -284,7 +284,7 @@
                     partial(self.taken, partial(State.slips, cell=cell), slower),
                 )
         yield from self.orders()
-        for name, how, step in chain(self.troubles(), self.links()):
+        for name, how, step in chain(self.faults(), self.links()):
             if not name:
                 yield how, partial(self.taken, step, budget)
             elif left := getattr(budget, name):
@@ -332,8 +332,13 @@
         assert cell.member is not None
         other = self.cell(cell.member.primary_ip) if cell.member.primary_ip else cell
         ways = {(cell.ip, other.ip), (other.ip, cell.ip)}
-        if other.member is not None and not other.stopped and not ways & self.cuts and other.told > cell.told:
-            self.put(self.hall.keep(replace(cell, told=other.told)))
+        if (
+            other.member is not None
+            and not other.stopped
+            and not ways & self.cuts
+            and other.sent_messages > cell.sent_messages
+        ):
+            self.put(self.hall.keep(replace(cell, sent_messages=other.sent_messages)))
 
     def slips(self, cell: Cell) -> State:
         self.put(self.hall.keep(replace(cell, slow=cell.slow + UNIT)))
@@ -341,19 +346,21 @@
 
     def orders(self) -> Iterator[tuple[str, Callable[[], State]]]:
         for place, operator in enumerate(self.operators):
-            if operator.done or not operator.tries:
+            if operator.done or not operator.attempts:
                 continue
             for cell in self.cells:
-                if cell.ip != operator.to and not cell.stopped and self.hall.look(cell, self.at).leads:
+                if cell.ip != operator.to and not cell.stopped and self.hall.look(cell, self.at).is_primary:
                     step = partial(State.ordered, place=place, cell=cell)
                     yield f"order {place + 1} to {cell.ip}", partial(self.taken, step, self.budget)
 
     def ordered(self, place: int, cell: Cell) -> State:
         operator = self.operators[place]
-        order, number = operator.order, 10 * (place + 1) + operator.tries
+        order, number = operator.order, 10 * (place + 1) + operator.attempts
         assert cell.member is not None
         floor = committed_version(cell.member)
-        sent = replace(operator, tries=operator.tries - 1, number=number, to=cell.ip, floor=floor)
+        sent = replace(
+            operator, attempts=operator.attempts - 1, number=number, to=cell.ip, committed_before=floor
+        )
         self.operate(place, sent)
         if isinstance(order, ReplaceOrder):
             self.judging().sends(order.version, order.body)
@@ -361,7 +368,7 @@
             self.judging().expected.pop(order.zone, None)
         return self.carry(self.hall.give(cell, self.at, Submitted(number, order), (number, order)))
 
-    def troubles(self) -> Iterator[tuple[str, str, Step]]:
+    def faults(self) -> Iterator[tuple[str, str, Step]]:
         """What may befall machines: by which budget, what it is called, what it does."""
         for cell in self.cells:
             if cell.member is None:
--- a/vetchusher/emulator/control/judge.py
+++ b/vetchusher/emulator/control/judge.py
@@ -60,73 +60,75 @@
     newest: StampTuple = ZERO_STAMP
     lost_at: dict[str, int] = field(default_factory=dict)  # when a machine's disk was last lost
 
-    def say(self, what: str) -> None:
+    def report(self, what: str) -> None:
         self.wrong.append(f"{self.at / 1e6:.3f} s: {what}")
 
-    def led(self, epoch: int, who: str) -> None:
+    def on_primary(self, epoch: int, who: str) -> None:
         before = self.primaries.setdefault(epoch, who)
         if before != who:
-            self.say(f"epoch {epoch} has two primaries: {before} and {who}")
+            self.report(f"epoch {epoch} has two primaries: {before} and {who}")
 
-    def held(self, holders: list[str]) -> None:
+    def on_copy(self, holders: list[str]) -> None:
         if len(holders) > 1:
-            self.say(f"{' and '.join(holders)} hold at once")
+            self.report(f"{' and '.join(holders)} hold at once")
 
     def commits(self, who: str, state: ControlState) -> None:
         stamp, told = state_stamp(state), state.SerializeToString(deterministic=True)
         if self.committed.setdefault(stamp, told) != told:
-            self.say(f"{who} committed {stamp}, which was something else before")
+            self.report(f"{who} committed {stamp}, which was something else before")
         if stamp <= self.newest:
             return
         self.newest = stamp
         if state.version < self.acknowledged:
-            self.say(f"{who} committed {stamp} with r{state.version}: r{self.acknowledged} was acknowledged")
+            self.report(
+                f"{who} committed {stamp} with r{state.version}: r{self.acknowledged} was acknowledged"
+            )
         if state.version and state.configuration not in self.sent.get(state.version, ()):
-            self.say(f"{who} committed r{state.version} that is not as it was sent")
+            self.report(f"{who} committed r{state.version} that is not as it was sent")
         if self.taken.setdefault(state.version, state.configuration) != state.configuration:
-            self.say(f"{who} committed r{state.version} with another body than before")
+            self.report(f"{who} committed r{state.version} with another body than before")
         self.zones(who, state)
 
     def zones(self, who: str, state: ControlState) -> None:
         is_on = {e.zone: e.on for e in state.evacuations}
         for zone, on in self.expected.items():
             if is_on.get(zone, False) != on:
-                self.say(f"{who} committed {state_stamp(state)}: zone {zone} is not as acknowledged")
+                self.report(f"{who} committed {state_stamp(state)}: zone {zone} is not as acknowledged")
 
     def sends(self, version: int, body: bytes) -> None:
         bodies = self.sent.get(version, ())
         if body not in bodies:
             self.sent[version] = (*bodies, body)
 
-    def acked(self, version: int, body: bytes, floor: int | None) -> None:
+    def on_acknowledged(self, version: int, body: bytes, floor: int | None) -> None:
         """:param floor: what the machine asked had committed as the order came; None: nothing yet"""
         newest = max(self.taken, default=0)
         if version > newest:
-            self.say(f"r{version} was acknowledged, and r{newest} is the newest committed")
+            self.report(f"r{version} was acknowledged, and r{newest} is the newest committed")
         counts = version == newest or (floor is not None and floor <= version)
         if version == newest and self.taken[version] != body:
-            self.say(f"r{version} was acknowledged with another body than is in force")
+            self.report(f"r{version} was acknowledged with another body than is in force")
         if counts and self.confirmed.setdefault(version, body) != body:
-            self.say(f"r{version} was acknowledged with two bodies")
+            self.report(f"r{version} was acknowledged with two bodies")
         self.answered.add((version, body))
         self.acknowledged = max(self.acknowledged, version)
         self.at_ack.append((self.at, version))
 
-    def refused(self, version: int, body: bytes) -> None:
+    def on_rejected(self, version: int, body: bytes) -> None:
         """As another body has that number."""
         newest = max(self.taken, default=0)
         if (version, body) in self.answered or self.taken.get(version) == body:
-            self.say(f"r{version} was refused, though this very body was acknowledged or committed")
+            self.report(f"r{version} was refused, though this very body was acknowledged or committed")
         if len(self.sent[version]) < 2:
-            self.say(f"r{version} was refused, and has one body")
+            self.report(f"r{version} was refused, and has one body")
         if version > newest:
-            self.say(f"r{version} was refused, and r{newest} is the newest committed")
+            self.report(f"r{version} was refused, and r{newest} is the newest committed")
 
     def in_force(self, who: str, version: int) -> None:
         while self.at_ack and self.at_ack[0][0] <= self.at - STALE:
             self.old = max(self.old, self.at_ack.popleft()[1])
         if version < self.old:
-            self.say(f"{who} takes r{version} to be in force, r{self.old} was acknowledged long ago")
+            self.report(f"{who} takes r{version} to be in force, r{self.old} was acknowledged long ago")
 
     def lost_lately(self, ip: str) -> bool:
         return self.lost_at.get(ip, -STALE) > self.at - STALE
@@ -135,11 +137,11 @@
         """A record has come to stand: its copies are whole, a majority has it, none is without a copy."""
         members = len(record.members)
         if members % 2 == 0 and not record.previous_members:
-            self.say(
+            self.report(
                 f"record {replica_set_id(record)} has {members} voters: one more than bears as many losses"
             )
         if len(record.copies) < members - majority(members) + 1 or set(record.copies) - set(record.members):
-            self.say(f"record {replica_set_id(record)}: a majority may hold no copy")
+            self.report(f"record {replica_set_id(record)}: a majority may hold no copy")
         without = [
             ip
             for ip in record.copies
@@ -147,7 +149,7 @@
             and not self.lost_lately(ip)
         ]
         if without:
-            self.say(f"record {replica_set_id(record)} names {', '.join(without)}, without a whole copy")
+            self.report(f"record {replica_set_id(record)} names {', '.join(without)}, without a whole copy")
         have = [
             ip
             for ip in sorted(voters(record))
@@ -155,9 +157,9 @@
             or self.lost_lately(ip)
         ]
         if not has_quorum(record, have):
-            self.say(f"record {replica_set_id(record)} stands on {', '.join(have)} only")
+            self.report(f"record {replica_set_id(record)} stands on {', '.join(have)} only")
 
-    def floor(self) -> int:
+    def committed_floor(self) -> int:
         """What a reading that begins now has to show at least."""
         return max(self.acknowledged, self.read)
 
@@ -169,8 +171,8 @@
         """The version that was read."""
         version = self.version_of(body)
         if not version:
-            self.say("a reading showed what nobody sent")
+            self.report("a reading showed what nobody sent")
         if version < floor:
-            self.say(f"a reading showed r{version} after r{floor}")
+            self.report(f"a reading showed r{version} after r{floor}")
         self.read = max(self.read, version)
         return version
--- a/vetchusher/emulator/control/machine_faults.py
+++ b/vetchusher/emulator/control/machine_faults.py
@@ -42,8 +42,8 @@
     """From all others, in one direction or in both."""
 
     def begin(world: World, ip: str) -> End:
-        world.cut(ip, hears, is_heard)
-        return lambda: world.join(ip)
+        world.cut_link(ip, hears, is_heard)
+        return lambda: world.restore_link(ip)
 
     return begin
 
--- a/vetchusher/emulator/control/process_faults.py
+++ b/vetchusher/emulator/control/process_faults.py
@@ -8,47 +8,47 @@
 from vetchusher.emulator.system.local import Machine
 
 from .process_replacement import REPLACEMENTS
-from .process_rig import CoreRig, Fault, Mend
+from .process_rig import CoreRig, Fault, Repair
 
 
-async def kill_primary(rig: CoreRig) -> Mend:
+async def kill_primary(rig: CoreRig) -> Repair:
     struck = [rig.leader()]
     await rig.kill(struck)
     return rig.start_later(struck)
 
 
-async def kill_other(rig: CoreRig) -> Mend:
+async def kill_other(rig: CoreRig) -> Repair:
     struck = [rig.other()]
     await rig.kill(struck)
     return rig.start_later(struck)
 
 
-async def kill_two(rig: CoreRig) -> Mend:
+async def kill_two(rig: CoreRig) -> Repair:
     struck = rig.rng.sample(rig.apiary.core, 2)
     await rig.kill(struck)
     return rig.start_later(struck)
 
 
-async def kill_all(rig: CoreRig) -> Mend:
+async def kill_all(rig: CoreRig) -> Repair:
     await rig.all_killed()
     return rig.start_later(rig.apiary.core)
 
 
-async def wipe_primary(rig: CoreRig) -> Mend:
+async def wipe_primary(rig: CoreRig) -> Repair:
     await rig.caught_up()
     struck = rig.leader()
     await rig.kill([struck])
     return rig.start_later([struck], wipe=struck)
 
 
-async def wipe_other(rig: CoreRig) -> Mend:
+async def wipe_other(rig: CoreRig) -> Repair:
     await rig.caught_up()
     struck = rig.other()
     await rig.kill([struck])
     return rig.start_later([struck], wipe=struck)
 
 
-async def wipe_after_answer(rig: CoreRig) -> Mend:
+async def wipe_after_answer(rig: CoreRig) -> Repair:
     """Whoever acknowledged last is gone with its disk as soon as the answer is there."""
     await rig.caught_up()
     rig.acknowledged.clear()
@@ -58,18 +58,18 @@
     return rig.start_later([struck], wipe=struck)
 
 
-async def wipe_and_kill_all(rig: CoreRig) -> Mend:
+async def wipe_and_kill_all(rig: CoreRig) -> Repair:
     await rig.caught_up()
     struck = rig.rng.choice(rig.apiary.core)
     await rig.all_killed()
     return rig.start_later(rig.apiary.core, wipe=struck)
 
 
-async def stop_primary(rig: CoreRig) -> Mend:
+async def stop_primary(rig: CoreRig) -> Repair:
     return rig.stop_for(rig.leader())
 
 
-async def stop_other(rig: CoreRig) -> Mend:
+async def stop_other(rig: CoreRig) -> Repair:
     return rig.stop_for(rig.other())
 
 
@@ -77,27 +77,27 @@
     return [m for m in rig.apiary.core if m not in but]
 
 
-async def cut_off_primary(rig: CoreRig) -> Mend:
+async def cut_off_primary(rig: CoreRig) -> Repair:
     leader = rig.leader()
     return rig.cut_for([leader], others(rig, leader), both=True)
 
 
-async def cut_off_other(rig: CoreRig) -> Mend:
+async def cut_off_other(rig: CoreRig) -> Repair:
     other = rig.other()
     return rig.cut_for([other], others(rig, other), both=True)
 
 
-async def primary_unheard(rig: CoreRig) -> Mend:
+async def primary_unheard(rig: CoreRig) -> Repair:
     leader = rig.leader()
     return rig.cut_for([leader], others(rig, leader), both=False)
 
 
-async def primary_deaf(rig: CoreRig) -> Mend:
+async def primary_deaf(rig: CoreRig) -> Repair:
     leader = rig.leader()
     return rig.cut_for(others(rig, leader), [leader], both=False)
 
 
-async def cut_in_two(rig: CoreRig) -> Mend:
+async def cut_in_two(rig: CoreRig) -> Repair:
     """The primary in the smaller part."""
     leader = rig.leader()
     small = [leader, *rig.rng.sample(others(rig, leader), (len(rig.apiary.core) - 1) // 2 - 1)]
--- a/vetchusher/emulator/control/process_replacement.py
+++ b/vetchusher/emulator/control/process_replacement.py
@@ -15,7 +15,7 @@
 from vetchusher.emulator.system.local import Machine
 from vetchusher.node.data_folders import read_contents
 
-from .process_rig import DOWN_S, REGAIN_S, CoreRig, Fault, Leave, Mend, Seat, internal_port
+from .process_rig import DOWN_S, REGAIN_S, CoreRig, Fault, Leave, Repair, Seat, internal_port
 
 LOOK_S = 0.1  # between two looks at the disks
 
@@ -35,7 +35,7 @@
     """A machine whose process has ended is one of today's no more."""
     rig.apiary.remove_core(machine.name)
     rig.cuts.remove(machine.ip)
-    rig.gone.append(machine)
+    rig.removed.append(machine)
     rig.found.replaced += 1
 
 
@@ -56,7 +56,7 @@
     return started
 
 
-def start_successors_later(rig: CoreRig, kind: str, lost: Sequence[Machine]) -> Mend:
+def start_successors_later(rig: CoreRig, kind: str, lost: Sequence[Machine]) -> Repair:
     async def mend() -> None:
         started = await asyncio.gather(*(start_successor_later(rig, m.zone) for m in lost))
         rig.back_at = opened = time.monotonic()
@@ -139,21 +139,21 @@
 # -- the faults ------------------------------------------------------------------------------------
 
 
-async def replace_primary(rig: CoreRig) -> Mend:
+async def replace_primary(rig: CoreRig) -> Repair:
     await rig.caught_up()
     lost = [rig.leader()]
     await lose(rig, lost)
     return start_successors_later(rig, "replace the primary", lost)
 
 
-async def replace_other(rig: CoreRig) -> Mend:
+async def replace_other(rig: CoreRig) -> Repair:
     await rig.caught_up()
     lost = [rig.other()]
     await lose(rig, lost)
     return start_successors_later(rig, "replace another", lost)
 
 
-async def replace_two(rig: CoreRig) -> Mend:
+async def replace_two(rig: CoreRig) -> Repair:
     """Where two losses at a time are to be borne."""
     await rig.caught_up()
     lost = rig.rng.sample(rig.apiary.core, 2)
@@ -161,16 +161,16 @@
     return start_successors_later(rig, "replace two at once", lost)
 
 
-async def replace_other_as_planned(rig: CoreRig) -> Mend:
+async def replace_other_as_planned(rig: CoreRig) -> Repair:
     return await replace_as_planned(rig, "replace another as planned", rig.other())
 
 
-async def replace_primary_as_planned(rig: CoreRig) -> Mend:
+async def replace_primary_as_planned(rig: CoreRig) -> Repair:
     """It led when its successor was started."""
     return await replace_as_planned(rig, "replace the primary as planned", rig.leader())
 
 
-async def replace_as_planned(rig: CoreRig, kind: str, leaving: Machine) -> Mend:
+async def replace_as_planned(rig: CoreRig, kind: str, leaving: Machine) -> Repair:
     """The successor first; SIGTERM as soon as it has caught up."""
     await rig.caught_up()
     successor, _ = await start_successor(rig, leaving.zone)
@@ -189,7 +189,7 @@
     return mend
 
 
-async def replace_then_wipe_other(rig: CoreRig) -> Mend:
+async def replace_then_wipe_other(rig: CoreRig) -> Repair:
     """What is lost once the successor has had its time is borne like any other loss: the rest reads back and
     acknowledges before the wiped one returns."""
     await rig.caught_up()
--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -37,11 +37,11 @@
 
 from .call_history import History, Ordered, Read, Seen, Wrote
 
-Mend = Callable[[], Awaitable[None]]
+Repair = Callable[[], Awaitable[None]]
 
 ZONES = tuple(REGIONS)
 VARIANTS = ("", "a", "b")  # of bodies under one version
-RACE_TRIES = 4  # of each operator in a race, until there is a clear answer
+RACE_ATTEMPTS = 4  # of each operator in a race, until there is a clear answer
 PATIENCE_S = 1.0  # an operator's, without an answer; then it goes elsewhere
 HASTE_S = 0.3  # of whoever measures for how long nobody acknowledges, and his pause
 HASTE_PACE_S = 0.03
@@ -79,7 +79,7 @@
     :param back: it told when to return
     """
 
-    door: str
+    listener: str
     status: int
     ms: float
     back: bool = False
@@ -146,7 +146,7 @@
     leaves: list[Leave] = field(default_factory=list)
 
 
-Fault = Callable[["CoreRig"], Awaitable[Mend]]
+Fault = Callable[["CoreRig"], Awaitable[Repair]]
 
 
 class CoreRig:
@@ -162,7 +162,7 @@
         self.apiary = LocalSystem(folder, core=zones, edge=(), losses=(size - 1) // 2)
         for machine in self.apiary.core:
             machine.internal = internal_port(machine)
-        self.gone: list[Machine] = []  # that were replaced
+        self.removed: list[Machine] = []  # that were replaced
         self.cuts = Cuts({m.ip: m.internal for m in self.apiary.core})
         self.found = Found()
         self.next_version = 1
@@ -179,7 +179,7 @@
         self.serving: set[str] = set()  # whose doors are known to be open
         self.back_at = -math.inf  # the last time that a machine returned
         self.majority_at = -math.inf  # the last time that it was the one to make a majority
-        self.open_doors = 0  # of those that are being started
+        self.open_listeners = 0  # of those that are being started
         self.session: aiohttp.ClientSession | None = None
 
     async def run(self, script: Callable[[CoreRig], Awaitable[None]]) -> Found:
@@ -211,7 +211,7 @@
 
     def machines(self) -> list[Machine]:
         """All that there were, the present ones first."""
-        return [*self.apiary.core, *self.gone]
+        return [*self.apiary.core, *self.removed]
 
     # -- operators ----------------------------------------------------------------------------------
 
@@ -271,7 +271,7 @@
 
     async def take_part(self, version: int, variant: str) -> None:
         answers = 0
-        for _ in range(RACE_TRIES):
+        for _ in range(RACE_ATTEMPTS):
             status = await self.send(self.rng.choice(self.apiary.core), version, variant)
             answers += status == 200
             if status == CONFLICT or answers > 1:
@@ -432,11 +432,11 @@
         self.serving -= {m.name for m in machines}
         await asyncio.gather(*(self.apiary.kill(m.name) for m in machines))
 
-    def start_later(self, machines: list[Machine], wipe: Machine | None = None) -> Mend:
+    def start_later(self, machines: list[Machine], wipe: Machine | None = None) -> Repair:
         if wipe is not None:
             self.apiary.wipe(wipe.name)
 
-        self.open_doors = 0
+        self.open_listeners = 0
 
         async def mend() -> None:
             await asyncio.sleep(self.rng.uniform(*DOWN_S))
@@ -458,11 +458,11 @@
 
         await self.apiary.until(open_, f"the door of {machine.name}")
         self.serving.add(machine.name)
-        self.open_doors += 1
-        if self.size - down + self.open_doors == self.size // 2 + 1:
+        self.open_listeners += 1
+        if self.size - down + self.open_listeners == self.size // 2 + 1:
             self.majority_at = time.monotonic()
 
-    def stop_for(self, machine: Machine) -> Mend:
+    def stop_for(self, machine: Machine) -> Repair:
         process = machine.process
         assert process is not None
         process.send_signal(signal.SIGSTOP)
@@ -476,7 +476,7 @@
 
         return mend
 
-    def cut_for(self, senders: Sequence[Machine], receivers: Sequence[Machine], both: bool) -> Mend:
+    def cut_for(self, senders: Sequence[Machine], receivers: Sequence[Machine], both: bool) -> Repair:
         """What those send does not reach these, nor, with `both`, the other way."""
         first, second = [m.ip for m in senders], [m.ip for m in receivers]
         self.cuts.block(first, second)
--- a/vetchusher/emulator/control/racers.py
+++ b/vetchusher/emulator/control/racers.py
@@ -44,7 +44,7 @@
         self.zone = f"of operator {number}"
         self.next_version = next_version
         self.leader = leader
-        self.settled: list[Sent] = []  # acknowledged to it
+        self.committed: list[Sent] = []  # acknowledged to it
 
     def begin(self) -> None:
         if self.rng.random() < EVACUATIONS:
@@ -58,8 +58,8 @@
 
     def choose(self) -> Sent:
         drawn = self.rng.random()
-        if drawn < OLD and self.settled:
-            return self.rng.choice(self.settled)
+        if drawn < OLD and self.committed:
+            return self.rng.choice(self.committed)
         steps = 0 if drawn < OLD + SAME_NUMBER else self.rng.randrange(1, 3)
         return self.next_version(steps), self.rng.choice(VARIANTS)
 
@@ -75,7 +75,7 @@
 
     def answered(self, order: Sent, acknowledged: bool) -> None:
         if acknowledged and self.rng.random() >= LOST:
-            self.settled = [*self.settled[1 - REMEMBERED :], order]
+            self.committed = [*self.committed[1 - REMEMBERED :], order]
             self.pause()
         else:
             self.soon(partial(self.attempt, order))
--- a/vetchusher/emulator/control/scenarios.py
+++ b/vetchusher/emulator/control/scenarios.py
@@ -37,10 +37,10 @@
     "leaves": lambda world, ip: world.retire_for_good(ip),  # in order, and for good
     "stops": lambda world, ip: world.freeze(ip),
     "goes on": lambda world, ip: world.thaw(ip),
-    "cut": lambda world, ip: world.cut(ip),
-    "deaf": lambda world, ip: world.cut(ip, is_heard=True),
-    "mute": lambda world, ip: world.cut(ip, hears=True),
-    "joined": lambda world, ip: world.join(ip),
+    "cut": lambda world, ip: world.cut_link(ip),
+    "deaf": lambda world, ip: world.cut_link(ip, is_heard=True),
+    "mute": lambda world, ip: world.cut_link(ip, hears=True),
+    "joined": lambda world, ip: world.restore_link(ip),
     "disk hangs": lambda world, ip: setattr(world.machines[ip], "disk_hangs", True),
     "disk refuses": lambda world, ip: setattr(world.machines[ip], "disk_refuses", True),
     "disk well": lambda world, ip: world.disk_well(ip),
@@ -110,26 +110,26 @@
         while self.open and self.world.at < until and not self.world.judge.wrong:
             self.world.run(self.world.at + MS)
         if self.open and not self.world.judge.wrong:
-            self.world.judge.say("an order is not settled")
+            self.world.judge.report("an order is not settled")
 
     def act(self, ip: str, act: str) -> None:
         world = self.world
         if act in ACTS:
             ACTS[act](world, ip)
         elif act in ("leads", "idle"):
-            if world.holds(ip) != (act == "leads"):
-                world.judge.say(f"machine {ip} is not as told: {act}")
+            if world.is_leader(ip) != (act == "leads"):
+                world.judge.report(f"machine {ip} is not as told: {act}")
         elif act == "followed":
-            if not any(world.holds(other) for other in world.machines.keys() - {ip}):
-                world.judge.say(f"machine {ip} is not as told: {act}")
+            if not any(world.is_leader(other) for other in world.machines.keys() - {ip}):
+                world.judge.report(f"machine {ip} is not as told: {act}")
         elif act in ("copy", "none"):
             disk = world.machines[ip].disk
             if (disk is not None and disk.has_copy) != (act == "copy"):
-                world.judge.say(f"machine {ip} is not as told: {act}")
+                world.judge.report(f"machine {ip} is not as told: {act}")
         elif act[0] == "x":
-            world.cuts |= {(ip, act[1:]), (act[1:], ip)}
+            world.cut_links |= {(ip, act[1:]), (act[1:], ip)}
         else:
-            world.cuts -= {(ip, act[1:]), (act[1:], ip)}
+            world.cut_links -= {(ip, act[1:]), (act[1:], ip)}
 
     def order(self, text: str) -> None:
         order = StoryOrder(self, text)
@@ -155,7 +155,7 @@
 
     def send(self) -> None:
         world = self.world
-        ip = self.to or next((ip for ip in world.machines if world.holds(ip)), "1")
+        ip = self.to or next((ip for ip in world.machines if world.is_leader(ip)), "1")
         if self.kind == "reads":
             world.retrieve(ip, self.read)
         elif self.kind in ("evacuate", "return"):
@@ -175,17 +175,17 @@
 
     def read(self, version: int | None) -> None:
         if version is not None and version != int(self.what[1:]):
-            self.world.judge.say(f"r{version} was read, not {self.what}")
+            self.world.judge.report(f"r{version} was read, not {self.what}")
         self.done(version is not None)
 
     def taken(self, ok: bool) -> None:
         if ok and self.to_be_refused:
-            self.world.judge.say(f"{self.kind} was acknowledged")
+            self.world.judge.report(f"{self.kind} was acknowledged")
         self.done(ok)
 
     def refused(self) -> None:
         if not self.to_be_refused:
-            self.world.judge.say(f"{self.kind} was refused")
+            self.world.judge.report(f"{self.kind} was refused")
         self.done(True)
 
 
@@ -196,6 +196,6 @@
         for ip in world.seeds:
             world.after(world.rng.randrange(100 * MS), partial(world.start, ip, first=True))
         world.run(WARM_UP)
-        if world.holds("1"):
+        if world.is_leader("1"):
             return world
         scene = replace(scene, seed=scene.seed + 1000)
--- a/vetchusher/emulator/control/search.py
+++ b/vetchusher/emulator/control/search.py
@@ -99,7 +99,7 @@
     return replace(drawn(seed), racers=RACERS, rounds=5)
 
 
-class Trouble:
+class FaultSearch:
     """It owns which machines are lost, and until when."""
 
     def __init__(self, search: Search) -> None:
@@ -136,7 +136,7 @@
                 self.wild_round()
             else:
                 self.careful_round()
-        self.settled(self.present())
+        self.committed(self.present())
         return world.judge.wrong or world.history.wrong()
 
     def passes(self, length: int) -> None:
@@ -216,7 +216,7 @@
 
     def present(self) -> list[str]:
         """Machines that are not gone for good."""
-        return [ip for ip, machine in self.world.machines.items() if not machine.gone]
+        return [ip for ip, machine in self.world.machines.items() if not machine.removed]
 
     # -- replacements --------------------------------------------------------------------------
 
@@ -262,7 +262,7 @@
             return
         fault = unbearable(self.moment())
         if fault:
-            self.world.judge.say(f"a loss that is tolerated would not be borne, {fault}")
+            self.world.judge.report(f"a loss that is tolerated would not be borne, {fault}")
         self.world.after(WATCH, self.watch)
 
     def moment(self) -> Moment:
@@ -279,7 +279,7 @@
 
     def heal(self) -> None:
         world = self.world
-        world.cuts.clear()
+        world.cut_links.clear()
         world.loss, world.late = world.scene.loss, world.scene.late
         for ip, machine in world.machines.items():
             machine.disk_hangs = machine.disk_refuses = False
@@ -305,7 +305,7 @@
         spoilt = rng.sample(members, minority)
         for ip in spoilt:
             self.begin(ip, self.drawn_fault(), 2 * CALM)
-        self.settled([ip for ip in members if ip not in spoilt])
+        self.committed([ip for ip in members if ip not in spoilt])
         self.heal()
         self.passes(self.catch_up)
 
@@ -322,8 +322,8 @@
             world.late = rng.choice((0.0, 0.05))
         elif drawn < 0.4:
             one, other = rng.sample(names, 2)
-            world.cuts.add((one, other))
-            world.after(rng.randrange(4 * SECOND), lambda: world.cuts.discard((one, other)))
+            world.cut_links.add((one, other))
+            world.after(rng.randrange(4 * SECOND), lambda: world.cut_links.discard((one, other)))
         else:
             ip = self.anybody() if rng.random() < 0.5 else rng.choice(names)
             length = rng.choice((rng.randrange(SECOND), rng.randrange(4 * SECOND)))
@@ -343,7 +343,7 @@
             self.at_next = lambda: world.after(rng.randrange(30 * MS), self.closing_fault)
             self.passes(6 * SECOND)
         self.careful = False
-        self.settled(self.present())
+        self.committed(self.present())
         self.passes(self.catch_up)
 
     def until_the_next(self) -> int:
@@ -387,7 +387,7 @@
         records = [m.disk.replica_set for m in self.world.machines.values() if m.disk is not None]
         return list(newest_replica_set(records).members)
 
-    def settled(self, well: list[str]) -> None:
+    def committed(self, well: list[str]) -> None:
         """These machines are a majority, up and joined: an order given to them is settled in time."""
         world, begun = self.world, self.world.at
         done: list[bool] = []
@@ -407,4 +407,4 @@
         while not done and world.at < begun + 2 * CALM and not world.judge.wrong:
             self.passes(100 * MS)
         if not done and not world.judge.wrong:
-            world.judge.say(f"an order is not settled, though {', '.join(well)} are well")
+            world.judge.report(f"an order is not settled, though {', '.join(well)} are well")
--- a/vetchusher/emulator/control/world.py
+++ b/vetchusher/emulator/control/world.py
@@ -52,7 +52,7 @@
 MOST_INBOX = 400
 PATIENCE = 4 * SECOND  # of an operator, for one answer
 Answer = Callable[[Result[bytes, Error]], None]
-SILENT: Result[bytes, Error] = Failure(Error(ErrorCode.UNAVAILABLE, "no answer"))
+UNANSWERED: Result[bytes, Error] = Failure(Error(ErrorCode.UNAVAILABLE, "no answer"))
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 
     order: Order
     answer: Answer
-    floor: int | None = None
+    committed_before: int | None = None
     given_up: bool = False
 
 
@@ -133,17 +133,17 @@
     rate: float
     offset: int
     member: Replica | None = None
-    life: int = 0
+    incarnation: int = 0
     disk: PersistentState | None = None
     saving: Persist | None = None
     disk_hangs: bool = False
     disk_refuses: bool = False
     frozen: bool = False
-    gone: bool = False  # for good: it never starts again
-    told: tuple[StampTuple, int] = (ZERO_STAMP, 0)
+    removed: bool = False  # for good: it never starts again
+    sent_messages: tuple[StampTuple, int] = (ZERO_STAMP, 0)
     link_free_at: int = 0  # when what was sent has left
     inbox: list[Input] = field(default_factory=list)
-    door: list[int] = field(default_factory=list)
+    listener: list[int] = field(default_factory=list)
 
     def now(self, at: int) -> int:
         return self.offset + int(at * self.rate)
@@ -160,14 +160,14 @@
         self.played = 0  # events
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.judge = Judge()
-        self.cuts: set[tuple[str, str]] = set()  # from, to
+        self.cut_links: set[tuple[str, str]] = set()  # from, to
         self.no_writes: set[str] = set()  # messages with a state are lost on their way there
         self.attempts: dict[int, Attempt] = {}
         self.history = History()  # of configurations; zones are the judge's
         self.events: Counter[str] = Counter()
         self.log: list[tuple[int, str, LogEvent]] = []
         self.loss, self.late = scene.loss, scene.late
-        self.floors: dict[str, PersistentState] = {}  # what an import brought into an empty folder
+        self.imported_states: dict[str, PersistentState] = {}  # what an import brought into an empty folder
         self.machines: dict[str, Machine] = {}
         for zone in scene.zones:
             self.add(zone)
@@ -200,25 +200,27 @@
 
     def start(self, ip: str, first: bool = False) -> None:
         machine = self.machines[ip]
-        if machine.member is not None or machine.gone:
+        if machine.member is not None or machine.removed:
             return
-        machine.life += 1
+        machine.incarnation += 1
         seeds = self.seeds if first else self.seeds_now()
         settings = ReplicaSettings(ip, machine.zone, seeds, first, self.scene.timing, self.scene.losses)
         rng = random.Random(self.rng.randrange(1 << 30))
-        machine.member = Replica(settings, machine.disk, rng, machine.now(self.at), self.floors.get(ip))
-        life = machine.life
+        machine.member = Replica(
+            settings, machine.disk, rng, machine.now(self.at), self.imported_states.get(ip)
+        )
+        life = machine.incarnation
         self.after(self.rng.randrange(TICK), lambda: self.tick(machine, life))
 
     def seeds_now(self) -> list[str]:
         """What the settings name at a later start: the first seeds, or machines of today in their place."""
-        if not any(self.machines[ip].gone for ip in self.seeds):
+        if not any(self.machines[ip].removed for ip in self.seeds):
             return self.seeds
-        known = [ip for ip, machine in self.machines.items() if machine.life and not machine.gone]
+        known = [ip for ip, machine in self.machines.items() if machine.incarnation and not machine.removed]
         return known[-SEEDS:]
 
     def tick(self, machine: Machine, life: int) -> None:
-        if machine.life != life or machine.member is None:
+        if machine.incarnation != life or machine.member is None:
             return
         if not machine.frozen:
             self.give(machine, Tick())
@@ -230,8 +232,8 @@
         other = self.machines.get(machine.member.primary_ip) if machine.member is not None else None
         if other is None or other.member is None or other.frozen or machine.ip in self.no_writes:
             return
-        if not {(machine.ip, other.ip), (other.ip, machine.ip)} & self.cuts:
-            machine.told = max(machine.told, other.told)
+        if not {(machine.ip, other.ip), (other.ip, machine.ip)} & self.cut_links:
+            machine.sent_messages = max(machine.sent_messages, other.sent_messages)
 
     def give(self, machine: Machine, event: Input) -> None:
         if machine.member is None:
@@ -241,7 +243,7 @@
                 machine.inbox.append(event)
             return
         if isinstance(event, Submitted) and event.order_id in self.attempts:
-            self.attempts[event.order_id].floor = committed_version(machine.member)
+            self.attempts[event.order_id].committed_before = committed_version(machine.member)
         for out in machine.member.handle(machine.now(self.at), event):
             self.carry(machine, out)
         self.look()
@@ -254,11 +256,11 @@
             now = machine.now(self.at)
             if machine.member.is_leader(now):
                 holding.append(machine.ip)
-            if machine.member.is_in_force(now, machine.told[0]) and not machine.frozen:
-                self.judge.in_force(machine.ip, machine.told[1])
-        self.judge.held(holding)
+            if machine.member.is_in_force(now, machine.sent_messages[0]) and not machine.frozen:
+                self.judge.in_force(machine.ip, machine.sent_messages[1])
+        self.judge.on_copy(holding)
 
-    def holds(self, ip: str) -> bool:
+    def is_leader(self, ip: str) -> bool:
         machine = self.machines[ip]
         return machine.member is not None and machine.member.is_leader(machine.now(self.at))
 
@@ -268,7 +270,7 @@
         elif isinstance(out, Persist):
             self.save(machine, out)
         elif isinstance(out, Committed):
-            machine.told = max(machine.told, (state_stamp(out.state), out.state.version))
+            machine.sent_messages = max(machine.sent_messages, (state_stamp(out.state), out.state.version))
             self.judge.commits(machine.ip, out.state)
         elif isinstance(out, Completed):
             self.done(machine, out)
@@ -278,7 +280,7 @@
             if out.event is Event.BECAME_PRIMARY:
                 epoch = out.facts["epoch"]
                 assert isinstance(epoch, int)
-                self.judge.led(epoch, f"{machine.ip}/{machine.life}")
+                self.judge.on_primary(epoch, f"{machine.ip}/{machine.incarnation}")
             elif (
                 out.event is Event.REPLICA_SET_ESTABLISHED and machine.member and machine.member.primary_role
             ):
@@ -292,7 +294,7 @@
             machine.disk = machine.saving.contents
         machine.member, machine.saving, machine.frozen = None, None, False
         machine.inbox.clear()
-        machine.door.clear()
+        machine.listener.clear()
 
     def wipe(self, ip: str) -> None:
         self.kill(ip)
@@ -304,12 +306,12 @@
 
         :param then: what follows its end, if that was in order
         """
-        machine, life = self.machines[ip], self.machines[ip].life
+        machine, life = self.machines[ip], self.machines[ip].incarnation
         self.give(machine, ShutDown())
         self.after(TICK, lambda: self.ending(machine, life, self.at, then))
 
     def ending(self, machine: Machine, life: int, began: int, then: Callable[[], None]) -> None:
-        if machine.life != life or machine.member is None:
+        if machine.incarnation != life or machine.member is None:
             return
         seat_end = SEAT_WAIT if machine.member.is_voter else 0
         needed = not machine.frozen and machine.member.is_needed(machine.now(self.at))
@@ -323,14 +325,14 @@
         """In order; it never comes back."""
 
         def gone() -> None:
-            self.machines[ip].gone = True
+            self.machines[ip].removed = True
 
         self.end(ip, gone)
 
     def lose_for_good(self, ip: str) -> None:
         """With its disk, and its address is not used again."""
         self.wipe(ip)
-        self.machines[ip].gone = True
+        self.machines[ip].removed = True
 
     def freeze(self, ip: str) -> None:
         self.machines[ip].frozen = True
@@ -338,7 +340,7 @@
     def thaw(self, ip: str) -> None:
         machine = self.machines[ip]
         machine.frozen = False
-        door, machine.door = machine.door, []
+        door, machine.listener = machine.listener, []
         for number in door:
             self.enter(machine, number)
         inbox, machine.inbox = machine.inbox, []
@@ -350,13 +352,13 @@
     def save(self, machine: Machine, save: Persist) -> None:
         assert machine.saving is None, "two saves at once"
         machine.saving = save
-        life = machine.life
+        life = machine.incarnation
         busy = taking(save.contents.state.ByteSize(), self.scene.disk_bytes_s)
         busy += self.rng.randrange(1, self.scene.disk_us)
         self.after(busy, lambda: self.saved(machine, life, save))
 
     def saved(self, machine: Machine, life: int, save: Persist) -> None:
-        if machine.life != life or machine.saving is not save:
+        if machine.incarnation != life or machine.saving is not save:
             return
         if machine.disk_hangs:
             self.after(50 * MS, lambda: self.saved(machine, life, save))
@@ -386,19 +388,19 @@
     def deliver(self, sender: Machine, to: str, data: bytes) -> None:
         message = ControlMessage.FromString(data)
         lost = to in self.no_writes and message.WhichOneof("kind") == "write"
-        if not lost and (sender.ip, to) not in self.cuts:
+        if not lost and (sender.ip, to) not in self.cut_links:
             self.give(self.machines[to], Received(sender.ip, sender.zone, message))
 
-    def cut(self, ip: str, hears: bool = False, is_heard: bool = False) -> None:
+    def cut_link(self, ip: str, hears: bool = False, is_heard: bool = False) -> None:
         """One machine from all others, both ways or one."""
         for other in self.machines.keys() - {ip}:
             if not hears:
-                self.cuts.add((other, ip))
+                self.cut_links.add((other, ip))
             if not is_heard:
-                self.cuts.add((ip, other))
+                self.cut_links.add((ip, other))
 
-    def join(self, ip: str) -> None:
-        self.cuts = {pair for pair in self.cuts if ip not in pair}
+    def restore_link(self, ip: str) -> None:
+        self.cut_links = {pair for pair in self.cut_links if ip not in pair}
 
     # -- orders --------------------------------------------------------------------------------
 
@@ -414,12 +416,12 @@
             self.judge.expected.pop(order.zone, None)
         if not machine.frozen:
             self.enter(machine, number)
-        elif len(machine.door) < MOST_INBOX:
-            machine.door.append(number)
+        elif len(machine.listener) < MOST_INBOX:
+            machine.listener.append(number)
 
     def enter(self, machine: Machine, number: int) -> None:
         """An order is read by the machine that it was sent to."""
-        order, to = self.attempts[number].order, self.passed_on(machine.ip)
+        order, to = self.attempts[number].order, self.forward_target(machine.ip)
         member = machine.member
         waited = member is not None and member.was_paused(machine.now(self.at))
         if to is None or (waited and isinstance(order, EvacuationOrder)):
@@ -432,16 +434,16 @@
         attempt = self.attempts.get(number)
         if attempt is not None and not attempt.given_up:
             attempt.given_up = True
-            attempt.answer(SILENT)
+            attempt.answer(UNANSWERED)
 
-    def passed_on(self, ip: str) -> str | None:
+    def forward_target(self, ip: str) -> str | None:
         member = self.machines[ip].member
         if member is None:
             return None
         to = member.primary_ip
         if to == ip or not to:
             return to or None
-        return to if not {(ip, to), (to, ip)} & self.cuts else None
+        return to if not {(ip, to), (to, ip)} & self.cut_links else None
 
     def done(self, machine: Machine, out: Completed) -> None:
         attempt = self.attempts.pop(out.order_id, None)
@@ -454,9 +456,9 @@
 
     def judged(self, attempt: Attempt, order: ReplaceOrder, outcome: Result[bytes, Error]) -> None:
         if isinstance(outcome, Success):
-            self.judge.acked(order.version, order.body, attempt.floor)
+            self.judge.on_acknowledged(order.version, order.body, attempt.committed_before)
         elif in_conflict(outcome):
-            self.judge.refused(order.version, order.body)
+            self.judge.on_rejected(order.version, order.body)
 
     def replace(
         self,
@@ -501,7 +503,7 @@
 
     def retrieve(self, ip: str, then: Callable[[int | None], None]) -> None:
         """`then` is told the version that was read, None without an answer."""
-        floor, made = self.judge.floor(), self.at
+        floor, made = self.judge.committed_floor(), self.at
 
         def answer(outcome: Result[bytes, Error]) -> None:
             if isinstance(outcome, Success):
--- a/vetchusher/emulator/system/process_loops.py
+++ b/vetchusher/emulator/system/process_loops.py
@@ -25,7 +25,7 @@
 DISK = 8 * MS  # longest that a sync takes
 
 
-class Clockwork:
+class VirtualClock:
     """Owner of time and of what is to happen, in order."""
 
     def __init__(self, seed: int) -> None:
@@ -60,7 +60,7 @@
         self.ready: deque[asyncio.Handle] = deque()
         self.backlog: list[asyncio.Handle] = []  # that came due while it stood still
         self.free_at: dict[int, int] = {}  # by executor: one thing after the other
-        self.doors: dict[int, Callable[[], asyncio.Protocol]] = {}  # by port
+        self.listeners: dict[int, Callable[[], asyncio.Protocol]] = {}  # by port
         self.wires: dict[Wire, None] = {}  # in the order in which they began
         self.errors: list[str] = []
 
@@ -137,7 +137,7 @@
     async def create_server(  # type: ignore[override]
         self, factory: Callable[[], asyncio.Protocol], host: str, port: int, **_: object
     ) -> object:
-        self.doors[port] = factory
+        self.listeners[port] = factory
         return _Listener(self, port)
 
     async def create_connection(  # type: ignore[override]
@@ -215,7 +215,7 @@
         self.loop, self.port = loop, port
 
     def close(self) -> None:
-        self.loop.doors.pop(self.port, None)
+        self.loop.listeners.pop(self.port, None)
 
 
 class Wire(asyncio.Transport):
@@ -285,15 +285,15 @@
     :param way_us: shortest and longest way between two machines, by their addresses
     """
 
-    def __init__(self, clock: Clockwork, way_us: Callable[[str, str], tuple[int, int]]) -> None:
+    def __init__(self, clock: VirtualClock, way_us: Callable[[str, str], tuple[int, int]]) -> None:
         self.clock, self.way_us = clock, way_us
         self.loops: dict[str, ProcessLoop] = {}
-        self.cuts: set[tuple[str, str]] = set()  # from, to
+        self.cut_links: set[tuple[str, str]] = set()  # from, to
         self.loss = 0.0
         self.bytes = 0
 
     def open(self, sender: str, to: str) -> bool:
-        return (sender, to) not in self.cuts
+        return (sender, to) not in self.cut_links
 
     def way(self, sender: str, to: str) -> int:
         least, most = self.way_us(sender, to)
@@ -322,7 +322,7 @@
                 self.clock.after(SECOND, arrive)
                 return
             other = self.listening(host)
-            factory = other.doors.get(port) if other is not None else None
+            factory = other.listeners.get(port) if other is not None else None
             if other is None or factory is None:
                 back_here(refused)
                 return
@@ -386,7 +386,7 @@
     def cut(self, ip: str, others: list[str], out: bool = True, back: bool = True) -> None:
         for other in others:
             if other != ip:
-                self.cuts |= ({(ip, other)} if out else set()) | ({(other, ip)} if back else set())
+                self.cut_links |= ({(ip, other)} if out else set()) | ({(other, ip)} if back else set())
 
     def join(self, ip: str) -> None:
-        self.cuts = {pair for pair in self.cuts if ip not in pair}
+        self.cut_links = {pair for pair in self.cut_links if ip not in pair}
--- a/vetchusher/emulator/system/scenarios.py
+++ b/vetchusher/emulator/system/scenarios.py
@@ -50,10 +50,10 @@
     "wiped": lambda world, name: world.wipe(name),  # off, and its disk lost
     "stops": lambda world, name: world.freeze(name, True),
     "goes on": lambda world, name: world.freeze(name, False),
-    "cut": lambda world, name: world.cut(name, others(world, name, False)),
-    "cut from core": lambda world, name: world.cut(name, others(world, name, True)),
-    "unheard": lambda world, name: world.cut(name, others(world, name, True), back=False),
-    "joined": lambda world, name: world.join(name),
+    "cut": lambda world, name: world.cut_links(name, others(world, name, False)),
+    "cut from core": lambda world, name: world.cut_links(name, others(world, name, True)),
+    "unheard": lambda world, name: world.cut_links(name, others(world, name, True), back=False),
+    "joined": lambda world, name: world.restore_links(name),
     "sigterm": lambda world, name: world.leave(name),
     "disk hangs": lambda world, name: world.disk(name, True),
     "disk well": lambda world, name: world.disk(name, False),
@@ -178,7 +178,7 @@
             if str(status) not in expected.split():
                 self.world.judge.say("STORY", f"{path} at {name} was answered {status}, not {expected}")
 
-        self.world.ask(name, path, then=told)
+        self.world.request(name, path, then=told)
 
     def machine(self, who: str) -> str:
         return self.world.primary() if who == "primary" else self.roles.get(who, who)
--- a/vetchusher/emulator/system/world.py
+++ b/vetchusher/emulator/system/world.py
@@ -38,7 +38,7 @@
 from vetchusher.settings.node import Bounds, Listen, NodeSettings
 
 from .judge import Asked, Calm, Judge, Version
-from .process_loops import Clockwork, Net, ProcessLoop
+from .process_loops import Net, ProcessLoop, VirtualClock
 from .servers import AttemptsStandIn, Listing, Servers
 
 PORT = 7000
@@ -178,9 +178,9 @@
 
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.clock = Clockwork(scene.seed)
+        self.clock = VirtualClock(scene.seed)
         self.rng = self.clock.rng
-        self.net = Net(self.clock, self.way_us)
+        self.net = Net(self.clock, self.link_delay_us)
         self.net.loss = scene.loss
         self.judge = Judge(BOUNDS, HOMES, QUOTAS, COLD_RATE, self.in_touch)
         self.servers = Servers(self.net, self.judge, ZONES)
@@ -202,13 +202,13 @@
         self.hot = scene.hot
         self.named: dict[str, list[str]] = {}  # by region: what the directory last named
         self.served: Counter[int] = Counter()  # statuses by second
-        self.notes: Counter[str] = Counter()
+        self.events: Counter[str] = Counter()
         self.statuses: Counter[int] = Counter()
 
     def machine(self, name: str, ip: str, zone: str, core: bool) -> Machine:
         return Machine(name, ip, zone, core, 1.0 + self.rng.choice((-1, 0, 1)) * self.scene.drift)
 
-    def way_us(self, here: str, there: str) -> tuple[int, int]:
+    def link_delay_us(self, here: str, there: str) -> tuple[int, int]:
         zones = self.places[here], self.places[there]
         if zones[0] == zones[1]:
             return 150, 500
@@ -235,7 +235,7 @@
         machine = self.machines[name]
         return [machine.calm, self.core_calm] if machine.core else [machine.calm]
 
-    def trouble(self, name: str, what: str, begins: bool) -> None:
+    def fault(self, name: str, what: str, begins: bool) -> None:
         for calm in self.calm_of(name):
             if begins:
                 calm.begins(f"{name} {what}")
@@ -256,7 +256,7 @@
         if machine.ran:
             for calm in self.calm_of(name):
                 calm.hit(self.clock.at)
-            self.trouble(name, "down", False)
+            self.fault(name, "down", False)
         machine.ran = True
 
     def settings(self, machine: Machine, first: bool) -> NodeSettings:
@@ -277,7 +277,7 @@
         node = self.settings(machine, first)
         rng = random.Random(self.rng.randrange(1 << 40))
         paths = PeerNetwork(
-            loop, machine.ip, machine.zone, PORT, lambda frame, way: part.on_frame(frame, way), self.note
+            loop, machine.ip, machine.zone, PORT, lambda frame, way: part.on_frame(frame, way), self.on_event
         )
 
         def now() -> int:
@@ -286,25 +286,25 @@
         part: ControlNode | EdgeNode
         if machine.core:
             snapshots = cast(Any, DrawnSnapshotStore(machine))
-            context = NodeContext(loop, node, paths, rng, now, self.note)
+            context = NodeContext(loop, node, paths, rng, now, self.on_event)
             part = ControlNode(context, cast(Any, machine), machine.disk, snapshots)
             part.leader_roles.server_list_poller.client = Listing(self.servers)
         else:
-            part = EdgeNode(NodeContext(loop, node, paths, rng, now, self.note))
+            part = EdgeNode(NodeContext(loop, node, paths, rng, now, self.on_event))
             part.proxy.attempts.session.detach()
             part.proxy.attempts = cast(Any, AttemptsStandIn(loop, self.servers))
         machine.part = part
         loop.create_task(paths.open())
         loop.create_task(part.run())
 
-    def note(self, note: LogEvent) -> None:
-        self.notes[note.event.name] += 1
+    def on_event(self, note: LogEvent) -> None:
+        self.events[note.event.name] += 1
 
     def end(self, name: str, power: bool) -> None:
         machine = self.machines[name]
         if machine.loop is None or not machine.loop.alive:
             return
-        self.trouble(name, "down", True)
+        self.fault(name, "down", True)
         machine.loop.end(power)
         machine.part = None
         if power:
@@ -318,21 +318,21 @@
     def freeze(self, name: str, stops: bool) -> None:
         loop = self.machines[name].loop
         if loop is not None and loop.alive and loop.frozen != stops:
-            self.trouble(name, "stands still", stops)
+            self.fault(name, "stands still", stops)
             if stops:
                 loop.frozen = True
             else:
                 loop.thaw()
 
-    def cut(self, name: str, others: list[str], out: bool = True, back: bool = True) -> None:
+    def cut_links(self, name: str, others: list[str], out: bool = True, back: bool = True) -> None:
         """From other machines; its servers stay in reach."""
-        self.trouble(name, "cut", True)
+        self.fault(name, "cut", True)
         machines = [self.machines[other].ip for other in others]
         self.net.cut(self.machines[name].ip, machines, out, back)
 
-    def join(self, name: str) -> None:
+    def restore_links(self, name: str) -> None:
         self.net.join(self.machines[name].ip)
-        self.trouble(name, "cut", False)
+        self.fault(name, "cut", False)
 
     def leave(self, name: str) -> None:
         """SIGTERM; the process ends when its grace is over."""
@@ -350,7 +350,7 @@
         loop = self.machines[name].loop
         if loop is not None:
             loop.disk_hangs = hangs
-            self.trouble(name, "disk", hangs)
+            self.fault(name, "disk", hangs)
 
     def primary(self) -> str:
         """Who leads, by its own word."""
@@ -373,7 +373,7 @@
             return
         paths = [*services_of(self.version), f"/new{self.version + 1}/"]
         tenant = "t2" if self.rng.random() < self.hot else "t1"
-        self.ask(self.rng.choice(fronts), self.rng.choice(paths), tenant, region)
+        self.request(self.rng.choice(fronts), self.rng.choice(paths), tenant, region)
 
     def directory(self) -> None:
         """What clients hold on to is asked for anew each second."""
@@ -387,7 +387,7 @@
                 if named:
                     self.named[region] = named
 
-    def ask(
+    def request(
         self,
         name: str,
         path: str,
