--- a/vetchusher/directory/naming.py
+++ b/vetchusher/directory/naming.py
@@ -14,7 +14,7 @@
 class ServingIngress:
     """An ingress that serves.
 
-    :param front: `host:port` for clients
+    :param address: `host:port` for clients
     """
 
     node: str
@@ -24,7 +24,7 @@
 
 
 def choose_addresses(ingresses: Iterable[ServingIngress], region: str, zone: str) -> list[str]:
-    """Addresses for a client of that place: its region's; with fewer than two there, all."""
+    """Return addresses for a client: those of its region, or all where that has fewer than two."""
     serving = list(ingresses)
     near = [one for one in serving if one.region == region]
     chosen = near if len(near) >= FEWEST_NAMED else serving
@@ -33,12 +33,13 @@
 
 
 def encode_ingress(ip: str, ingress: ServingIngress, serving: bool) -> bytes:
+    """Encode an ingress as a row of the source `directory`."""
     fields = [ip, ingress.zone, ingress.region, ingress.address, int(serving)]
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def serving_ingresses(rows: Mapping[str, bytes]) -> list[ServingIngress]:
-    """Those that the source `directory` say serve."""
+    """Return the ingresses that the rows of the source `directory` say serve."""
     found = []
     for node, value in rows.items():
         try:
--- a/vetchusher/directory/neighbours.py
+++ b/vetchusher/directory/neighbours.py
@@ -15,13 +15,17 @@
 
 @dataclass(slots=True, frozen=True)
 class IngressLocation:
+    """Where an ingress is."""
+
     ip: str
     zone: str
     region: str
 
 
 def decode_locations(rows: Mapping[str, bytes]) -> dict[str, IngressLocation]:
-    """Ingresses by name, from the rows of the source `directory`; those without an address are left out."""
+    """Return the ingresses by name, from the rows of the source `directory`; those without an address are
+    left out.
+    """
     found = {}
     for node, value in rows.items():
         try:
@@ -34,11 +38,12 @@
 
 
 def rank(watcher: str, watched: str) -> bytes:
+    """Return the rank of one ingress for another that watches it."""
     return blake2b(f"{watcher}\n{watched}".encode(), digest_size=8).digest()
 
 
 def choose_neighbours(own_name: str, region: str, places: Mapping[str, IngressLocation]) -> list[str]:
-    """Addresses (ip) of those that the ingress `me` watches: the highest ranks, most of its region."""
+    """Return the addresses of those that an ingress watches: the highest ranks, most in its region."""
     others = sorted(
         (node for node in places if node != own_name), key=lambda node: rank(own_name, node), reverse=True
     )
--- a/vetchusher/directory/presence.py
+++ b/vetchusher/directory/presence.py
@@ -18,6 +18,8 @@
 
 @dataclass(slots=True)
 class Ingress:
+    """An ingress by its last heartbeat."""
+
     node: str
     ip: str
     zone: str
@@ -28,10 +30,11 @@
     last_contact_at: int
 
     def as_serving(self) -> ServingIngress:
+        """Return it as the directory names it."""
         return ServingIngress(self.node, self.zone, self.region, self.address)
 
     def is_serving(self, now: int) -> bool:
-        """Ready, by a recent heartbeat."""
+        """Return whether it is ready, by a recent heartbeat."""
         return self.state == wire.READY and now - self.last_contact_at <= SERVING_US
 
 
@@ -39,11 +42,12 @@
     """Owner of one record for each ingress; removed MAY_SERVE_US after its last heartbeat."""
 
     def __init__(self) -> None:
+        """Begin without ingresses."""
         self.ingresses: dict[str, Ingress] = {}
         self.departed: set[str] = set()  # of `ingresses`: logged as lost
 
     def on_heartbeat(self, now: int, heartbeat: wire.Heartbeat) -> list[LogEvent]:
-        """Take in a heartbeat; those of machines that take no clients are ignored."""
+        """Take a heartbeat; those of machines that take no clients are ignored."""
         if not heartbeat.front:
             return []
         known = self.ingresses.get(heartbeat.node)
@@ -68,6 +72,7 @@
         )
 
     def expire(self, now: int) -> list[LogEvent]:
+        """Forget ingresses that were silent for long; return events of those that went silent."""
         events = []
         for node, one in list(self.ingresses.items()):
             unheard_us = now - one.last_contact_at
@@ -89,19 +94,20 @@
             self.departed.add(node)
 
     def rows(self, now: int) -> dict[str, bytes]:
-        """Rows for subscribers: every ingress that may be serving, by name, and whether it does."""
+        """Return the rows for subscribers: every ingress that may be serving, and whether it does."""
         return {
             one.node: encode_ingress(one.ip, one.as_serving(), one.is_serving(now))
             for one in self.ingresses.values()
         }
 
     def may_serve(self) -> dict[str, int]:
-        """Time (us) of the last heartbeat of each that may have clients, lost ones included."""
+        """Return the time (us) of the last heartbeat of each that may have clients, silent ones included."""
         return {node: one.last_contact_at for node, one in self.ingresses.items()}
 
     def serving(self, now: int) -> list[Ingress]:
-        """Those that are ready, by a recent heartbeat."""
+        """Return those that are ready, by a recent heartbeat."""
         return [one for one in self.ingresses.values() if one.is_serving(now)]
 
     def resolve(self, now: int, region: str, zone: str) -> list[str]:
+        """Return addresses for a client of a region and zone."""
         return choose_addresses((one.as_serving() for one in self.serving(now)), region, zone)
--- a/vetchusher/discovery/reader.py
+++ b/vetchusher/discovery/reader.py
@@ -1,8 +1,4 @@
-"""From the platform's list to rows, and from rows to servers at an ingress.
-
-Decides which servers are gone and which ingress owns the cold budget of each.  The primary alone reads the
-list; a `Reader` is made anew with each epoch.
-"""
+"""From the platform's list to rows, and from rows to servers at an ingress."""
 
 from __future__ import annotations
 
@@ -29,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedServer:
-    """One entry of the list."""
+    """One entry of the platform's list."""
 
     instance: str
     service: str
@@ -43,17 +39,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Page:
+    """One page of the list.
+
+    :param next_token: names the page after it; None: it is the last
+    """
+
     entries: list[ListedServer]
     next_token: str | None
 
 
 def unreadable_page(text: str) -> Result[Page, Error]:
+    """Return the failure of a page that cannot be read."""
     return Failure(Error(ErrorCode.INVALID_MESSAGE, text))
 
 
 def read_page(raw: bytes) -> Result[Page, Error]:
-    """One page of `GET /instances`.  A page of which any entry cannot be read is not used: what is missing
-    from a list counts as gone."""
+    """Parse one page of `GET /instances`.
+
+    A page of which any entry cannot be read is not used: what is missing from a list counts as gone.
+    """
     try:
         tree = json.loads(raw)
         columns, rows = tree["instances"]["columns"], tree["instances"]["rows"]
@@ -88,12 +92,14 @@
 
 
 def rank(node: str, instance: str) -> bytes:
-    """Rendezvous hashing: of several nodes the one with the highest rank owns the instance's cold budget."""
+    """Return the rank of a node for an instance: by rendezvous hashing the highest owns its cold budget."""
     return blake2b(f"{node}\n{instance}".encode(), digest_size=8).digest()
 
 
 @dataclass(slots=True)
 class KnownServer:
+    """A server as the reader keeps it."""
+
     listed: ListedServer
     cold_owner: str
     owner_wait_ms: int
@@ -102,10 +108,10 @@
 
 
 class ServerListReader:
-    """Owner of the servers listed; one is removed when ABSENT_READS whole reads lack it."""
+    """Owner of the listed servers; one is removed when `ABSENT_READS` complete reads lack it."""
 
     def __init__(self, zones: Mapping[str, str], kept: Mapping[str, bytes]) -> None:
-        """:param kept: rows of the previous reader: owners of cold budgets stay"""
+        """Begin with the rows of the previous reader, so that owners of cold budgets stay."""
         self.zones = zones
         self.known: dict[str, KnownServer] = {}
         for key, value in kept.items():
@@ -118,7 +124,7 @@
                     continue
 
     def read(self, entries: Sequence[ListedServer], ingresses: Iterable[tuple[str, str]]) -> dict[str, bytes]:
-        """Rows after a whole read.
+        """Return the rows after a complete read.
 
         :param ingresses: node name and region of those that serve
         """
@@ -161,6 +167,7 @@
 
 
 def write_row(known: KnownServer) -> bytes:
+    """Encode a server as a row."""
     one = known.listed
     fields = [one.service, one.address, one.zone, one.version, one.capacity, int(one.draining)]
     return json.dumps(
@@ -169,7 +176,7 @@
 
 
 def read_row(instance: str, value: bytes, now: int) -> Result[Server, Error]:
-    """A row as a server, its spans counted from `now` (us): later than they began, so never too short."""
+    """Decode a row; its spans count from `now` (us), later than they began, so never too short."""
     try:
         service, address, zone, version, capacity, draining, cold_ms, cold_owner, wait_ms = json.loads(value)
         cold_until = now + 1000 * int(cold_ms) if cold_ms else 0
--- a/vetchusher/node/attempts.py
+++ b/vetchusher/node/attempts.py
@@ -1,4 +1,6 @@
-"""Attempts at servers.  `Attempts` owns each from `start` to its one report; `Links` owns the connections."""
+"""Attempts at servers: `ServerAttempts` owns each from `start` to its one report; `Links` owns the
+connections.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +50,10 @@
 
 @dataclass(slots=True)
 class RequestSpec:
-    """What of a request passes on unchanged, besides its headers."""
+    """What of a request is forwarded unchanged, besides its headers.
+
+    :param id: the client's attempt id, which a server's response repeats
+    """
 
     method: str
     target: str
@@ -58,10 +63,10 @@
 
 @dataclass(slots=True)
 class ServerResponse:
-    """A server's answer that may be passed on.
+    """A server's response that may be forwarded.
 
-    :param body: held whole, or to be passed on as it comes
-    :param length: as stated; none: not stated
+    :param body: complete, or to be streamed as it arrives
+    :param length: as stated; None: not stated
     """
 
     status: int
@@ -75,22 +80,33 @@
 
 
 class ChunkedPayload(Payload):
-    """A long body, written in the pieces in which it came."""
+    """A long body, written in the chunks in which it was received."""
 
     def __init__(self, chunks: list[bytes]) -> None:
+        """Wrap the chunks."""
         super().__init__(chunks)
         self._size = sum(map(len, chunks))
 
     def decode(self, encoding: str = "utf-8", errors: str = "strict") -> str:
+        """Return the body as text."""
         return b"".join(self._value).decode(encoding, errors)
 
     async def write(self, writer: AbstractStreamWriter) -> None:
+        """Write one chunk after another."""
         for piece in self._value:
             await writer.write(piece)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One sending of a request to one server.
+
+    :param begun: its request is being written to a connection
+    :param response_has_id: its response bears the attempt's id
+    :param response_began: a part of its response has arrived
+    :param is_over: it was reported or cancelled
+    """
+
     send: SendAttempt
     spec: RequestSpec
     report: AttemptReport
@@ -106,14 +122,18 @@
 
     @property
     def holder(self) -> object:
+        """The server's id: connections made for it serve it only."""
         return self.send.server.instance
 
     def answering(self) -> None:
+        """Note that a part of the response has arrived."""
         self.response_began = True
 
 
 def response_belongs_to(attempt: Attempt, head: bytes) -> bool:
-    """Whether the answer is that attempt's.  One without an id may be: `seen_of` weighs what it claims."""
+    """Return whether a response is that attempt's. One without an id may be: `outcome_of` weighs what it
+    claims.
+    """
     found = _ATTEMPT.findall(head)
     if found and set(found) != {attempt.spec.id}:
         return False
@@ -122,7 +142,7 @@
 
 
 def outcome_of_lost_connection(attempt: Attempt, err: NeverSent) -> AttemptOutcome:
-    """What shows of a connection that was lost before the request's last byte was written.
+    """Return the outcome where the connection was lost before the request's last byte was written.
 
     Safety: a server that has begun to answer has begun to work as well, on whatever of the body it had.
     """
@@ -131,10 +151,14 @@
 
 
 def has_no_body(attempt: Attempt, status: bytes) -> bool:
+    """Return whether a response of that status has no body."""
     return status in (b"204", b"304") or attempt.spec.method == "HEAD"
 
 
 def is_connection_usable(attempt: Attempt, link: Link, idle: float) -> bool:
+    """Return whether an idle connection may carry an attempt; what may run only once needs one that is surely
+    alive.
+    """
     if not attempt.send.trusted or idle <= MAX_TRUSTED_IDLE_S:
         return True
     return idle <= TRUSTED_IDLE_RATIO * min(
@@ -143,34 +167,39 @@
 
 
 def new_socket(addr: Any) -> socket.socket:
-    """Safety: behind a cut nothing answers, and what was written would wait for minutes."""
+    """Return a socket with a time-out: behind a partition what was written would wait for minutes."""
     made = socket.socket(addr[0], addr[1], addr[2])
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return made
 
 
 class ServerAttempts:
-    """:param keeps: whether a server is still on the list: connections to the others are not kept"""
+    """Owner of the attempts in flight."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, connections: int, keeps: Callable[[Any], bool]
     ) -> None:
+        """Begin without attempts.
+
+        :param connections: to servers, at most
+        :param keeps: whether a server is still listed: connections to the others are not kept
+        """
         self.loop = loop
         self.attempts: set[Attempt] = set()
         self.trust = TrustByService(MAX_IDLE_US / 1e6)
-        ways = Ways(
+        hooks = Ways(
             own=response_belongs_to,
             bodiless=has_no_body,
             fits=is_connection_usable,
             opened=new_socket,
             trust=self.trust.of,
         )
-        self.session = open_session(connections, MAX_IDLE_US, None, keeps, ways)
+        self.session = open_session(connections, MAX_IDLE_US, None, keeps, hooks)
 
     def servers_changed(self, services: Collection[str]) -> None:
-        """Safety: a connection to one that is gone may lead to whoever has its address now.
+        """Close idle connections to servers that are gone: their addresses may be another's by now.
 
-        :param services: that servers on the list offer
+        :param services: that listed servers offer
         """
         self.trust.keep(services)
         connector = self.session.connector
@@ -178,6 +207,7 @@
         connector.drop_stale()
 
     def start(self, send: SendAttempt, spec: RequestSpec, report: AttemptReport) -> Attempt:
+        """Start an attempt; it ends with one call of `report`, or by `cancel`."""
         attempt = Attempt(send, spec, report, self.loop.time())
         self.attempts.add(attempt)
         attempt.task = self.loop.create_task(self.run(attempt))
@@ -187,10 +217,10 @@
         return attempt
 
     def unconnected(self, attempt: Attempt, due: float) -> None:
-        """Give up an attempt whose connection is not up in time.
+        """End an attempt whose connection is not up in time.
 
-        Safety: after a stall of this process its timers run before its sockets are looked at, and servers
-        would be blamed for it.
+        After a stall of this process its timers run before its sockets are looked at, and servers would be
+        blamed for it; hence a second look.
         """
         now = self.loop.time()
         if now > due + LOOP_STALL_S:
@@ -203,14 +233,16 @@
     def expire(self, attempt: Attempt) -> None:
         # Safety: what the closing socket still holds may be sent yet, so a request that was only partly
         # written when its time was over may run all the same.
+        """End an attempt whose deadline has come."""
         self.finish(attempt, AttemptOutcome.TIMED_OUT if attempt.begun else AttemptOutcome.NO_CONNECTION)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End it without a report."""
+        """End an attempt without a report."""
         if self.disconnect(attempt) and attempt.task is not None:
             attempt.task.cancel()
 
     def disconnect(self, attempt: Attempt) -> bool:
+        """Forget an attempt and its timers; return whether it was still in flight."""
         if attempt.is_over:
             return False
         attempt.is_over = True
@@ -220,8 +252,10 @@
                 timer.cancel()
         return True
 
-    def finish(self, attempt: Attempt, seen: AttemptOutcome, response: ServerResponse | None = None) -> None:
-        """The one place where an attempt ends.  Cancelling its task closes a connection still in use."""
+    def finish(
+        self, attempt: Attempt, outcome: AttemptOutcome, response: ServerResponse | None = None
+    ) -> None:
+        """Report an attempt, here alone. Cancelling its task closes a connection still in use."""
         if not self.disconnect(attempt):
             if response is not None and isinstance(response.body, Streamed):
                 response.body.close()
@@ -229,10 +263,11 @@
         if attempt.task is not None and attempt.task is not asyncio.current_task():
             attempt.task.cancel()
         soon = self.loop.time() - attempt.sent_at < IMMEDIATE_RESET_US / 1e6
-        prompt = seen is AttemptOutcome.RESET and soon and not attempt.response_began
-        attempt.report(attempt.send.number, seen, prompt, response)
+        prompt = outcome is AttemptOutcome.RESET and soon and not attempt.response_began
+        attempt.report(attempt.send.number, outcome, prompt, response)
 
     async def run(self, attempt: Attempt) -> None:
+        """Send the request and read the response."""
         send, spec = attempt.send, attempt.spec
         sending.set(attempt)
         raw: aiohttp.ClientResponse | None = None
@@ -266,7 +301,9 @@
     async def read_response(
         self, attempt: Attempt, response: aiohttp.ClientResponse
     ) -> tuple[AttemptOutcome, ServerResponse | None]:
-        """Read an answer as far as it is held, and say what it shows."""
+        """Read a response as far as it is buffered; return its outcome, and the response where it may be
+        forwarded.
+        """
         attempt.response_began = True
         link, headers = attempt.link, response.headers
         first_call = link is not None and link.calls == 1
@@ -274,42 +311,46 @@
             link.idle_most = max_idle_s(headers.get("Keep-Alive"))
             if attempt.spec.method == "HEAD":
                 link.force_close()  # Safety: a second copy of its answer could not be passed over
-        good = 200 <= response.status < 300
-        ours = attempt.response_has_id or (first_call and not good)
-        seen = outcome_of(response.status, NOT_EXECUTED in headers, ours, SEAL in headers)
-        body = await read(attempt, response)
+        is_success = 200 <= response.status < 300
+        is_ours = attempt.response_has_id or (first_call and not is_success)
+        outcome = outcome_of(response.status, NOT_EXECUTED in headers, is_ours, SEAL in headers)
+        body = await read_body(attempt, response)
         if body is None:
             return AttemptOutcome.GARBLED, None
-        if seen not in (AttemptOutcome.ANSWERED, AttemptOutcome.SERVER_ERROR):
+        if outcome not in (AttemptOutcome.ANSWERED, AttemptOutcome.SERVER_ERROR):
             if isinstance(body, Streamed):
                 body.close()
-            return seen, None
-        passed = response_headers(headers.items())
-        got = ServerResponse(response.status, response.reason or "", passed, body, response.content_length)
-        return seen, got
+            return outcome, None
+        forwarded_headers = response_headers(headers.items())
+        result = ServerResponse(
+            response.status, response.reason or "", forwarded_headers, body, response.content_length
+        )
+        return outcome, result
 
     async def close(self) -> None:
+        """Cancel all attempts and close all connections."""
         for attempt in list(self.attempts):
             self.cancel(attempt)
         await self.session.close()
 
 
 def max_idle_s(keep_alive: str | None) -> float:
-    """Seconds for which a connection may stand idle, by what the server says."""
-    told = _TIMEOUT.search(keep_alive) if keep_alive else None
-    return int(told[1]) * STATED_IDLE_RATIO if told else DEFAULT_IDLE_S
+    """Return the seconds for which a connection may be idle, by what the server states."""
+    stated = _TIMEOUT.search(keep_alive) if keep_alive else None
+    return int(stated[1]) * STATED_IDLE_RATIO if stated else DEFAULT_IDLE_S
 
 
-def body_of(pieces: list[bytes]) -> bytes | ChunkedPayload | None:
-    if not pieces:
+def body_of(chunks: list[bytes]) -> bytes | ChunkedPayload | None:
+    """Return a body in the form in which it is written; None: there is none."""
+    if not chunks:
         return None
-    if len(pieces) == 1 and len(pieces[0]) <= MAX_JOINED_BODY_BYTES:
-        return pieces[0]
-    return b"".join(pieces) if sum(map(len, pieces)) <= MAX_JOINED_BODY_BYTES else ChunkedPayload(pieces)
+    if len(chunks) == 1 and len(chunks[0]) <= MAX_JOINED_BODY_BYTES:
+        return chunks[0]
+    return b"".join(chunks) if sum(map(len, chunks)) <= MAX_JOINED_BODY_BYTES else ChunkedPayload(chunks)
 
 
-async def read(attempt: Attempt, response: aiohttp.ClientResponse) -> bytes | Streamed | None:
-    """The body if it is short, else what will bring it; nothing if its end could not be told."""
+async def read_body(attempt: Attempt, response: aiohttp.ClientResponse) -> bytes | Streamed | None:
+    """Return the body if it is short, else its stream; None: its end could not be told."""
     if has_no_body(attempt, b"%d" % response.status):
         response.release()
         return b""
--- a/vetchusher/routing/actions.py
+++ b/vetchusher/routing/actions.py
@@ -16,7 +16,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestHead:
-    """:param target: raw path and query
+    """The head of a client's request.
+
+    :param target: raw path and query
     :param arrived_at: us
     """
 
@@ -28,9 +30,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send it there, on a connection of that instance.
+    """Send the request to a server, on a connection of that instance.
 
-    :param trusted: it may run once only, so nothing but a connection that is surely alive will do
+    :param deadline: us
+    :param trusted: it may run only once, so nothing but a connection that is surely alive will do
     """
 
     number: int
@@ -43,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Close the connection of that attempt; no outcome is expected for it."""
+    """Close the connection of an attempt; no outcome is expected for it."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardResponse:
-    """Pass that attempt's answer on."""
+    """Forward the response of an attempt."""
 
     number: int
 
@@ -64,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WakeAt:
-    """Call `late` then (us)."""
+    """Call `on_late` at that time (us)."""
 
     at: int
 
--- a/vetchusher/routing/admission.py
+++ b/vetchusher/routing/admission.py
@@ -22,7 +22,7 @@
 
 
 def admit_request(context: RoutingContext, head: RequestHead) -> Result[Request, Error]:
-    """Read a head by the configuration that is in force here now."""
+    """Check a head by the configuration that is in force here now; return the request's state machine."""
     table = context.table
     if table is None:
         return Failure(Error(ErrorCode.STALE_CONFIGURATION, "no configuration yet", STALE_RETRY_AFTER_US))
@@ -42,7 +42,7 @@
 
 
 def malformed_reason(head: RequestHead) -> Error | None:
-    """Why a head cannot be passed on as it is, if so."""
+    """Return why a head cannot be forwarded as it is; None: it can."""
     if not head.target.startswith("/") or not head.target.isascii():
         return Error(ErrorCode.MALFORMED_REQUEST, "the target is no path")
     repeated = _repeated(name.lower() for name, _ in head.headers)
--- a/vetchusher/routing/claims.py
+++ b/vetchusher/routing/claims.py
@@ -13,6 +13,8 @@
 
 
 class AttemptOutcome(StrEnum):
+    """What was seen of an attempt."""
+
     NO_CONNECTION = "no_connection"  # refused, or not up in time
     NOT_WRITTEN = "not_written"  # lost before the request's last byte was written
     NOT_EXECUTED = "not_executed"  # the server says so
@@ -26,6 +28,8 @@
 
 
 class Claim(StrEnum):
+    """What follows from an outcome for the request: it ran, it may have run, it never ran."""
+
     NEVER_RAN = "never_ran"
     MAY_HAVE_RUN = "may_have_run"
     RAN = "ran"
@@ -50,8 +54,10 @@
 
 @dataclass(slots=True, frozen=True)
 class NextStep:
-    """:param may_retry: another server may be tried
-    :param otherwise: how it ends if that is not done; nothing: with the server's answer
+    """What may follow an attempt.
+
+    :param may_retry: another server may be tried
+    :param otherwise: the error where that is not done; None: the server's response is forwarded
     """
 
     may_retry: bool
@@ -76,13 +82,14 @@
 
 
 def next_step(outcome: AttemptOutcome, repeatable: bool) -> NextStep:
+    """Return what may follow an attempt."""
     return NEXT[CLAIM_OF[outcome], outcome is not AttemptOutcome.ANSWERED, repeatable]
 
 
 def outcome_of(status: int, not_executed: bool, ours: bool, sealed: bool) -> AttemptOutcome:
-    """What a whole answer shows.
+    """Return the outcome of a complete response.
 
-    :param ours: it bears our attempt's id, or none and nothing else was ever asked on its connection
+    :param ours: it bears our attempt's id, or none and nothing else was ever sent on its connection
     :param sealed: it bears the server's stamp
     """
     if not ours:
--- a/vetchusher/routing/context.py
+++ b/vetchusher/routing/context.py
@@ -20,29 +20,29 @@
     """The tenants' quotas."""
 
     def admit(self, now: int, tenant: str) -> bool:
-        """Whether one more request of the tenant may pass; if so it is counted."""
+        """Return whether one more request of a tenant is admitted; if so it is counted."""
 
     def retry_after_us(self, now: int, tenant: str) -> int:
-        """us after which a refused one may try again."""
+        """Return the microseconds after which a rejected request may try again."""
 
 
 class AttemptBudget(Protocol):
-    """The extra tries, counted against the requests by service."""
+    """The budget of further attempts, by service."""
 
     def on_request(self, now: int, service: str) -> None:
-        """A request for the service goes to its first server."""
+        """Count a request that goes to its first server."""
 
     def take_attempt(self, now: int, service: str) -> bool:
-        """Whether one more extra try may be made; if so it is taken."""
+        """Return whether one more further attempt may be made; if so it is taken."""
 
 
 @dataclass(slots=True)
 class RoutingContext:
-    """What all requests of an ingress share.  A request keeps the route table that it began with.
+    """What all requests of an ingress share. A request keeps the route table that it began with.
 
     :param fresh_until: us; until then the table is surely the one in force, and what it does not allow may be
-        refused for good
-    :param times: smoothed times of answers (us) by route; `configure` drops those of routes that are gone
+        rejected for good
+    :param response_times: smoothed, us by route; `configure` drops those of routes that are gone
     """
 
     choice: ServerSelector
@@ -54,19 +54,21 @@
     response_times: dict[str, float] = field(default_factory=dict)
 
     def configure(self, configuration: Configuration) -> None:
+        """Take a configuration."""
         self.table = RouteTable(configuration)
         self.choice.configure(configuration.services)
         names = {route.name for route in configuration.routes}
         self.response_times = {name: time for name, time in self.response_times.items() if name in names}
 
     def record_response_time(self, route: Route, took_us: int) -> None:
+        """Note how long a route's response took, in microseconds."""
         before = self.response_times.get(route.name)
         self.response_times[route.name] = (
             took_us if before is None else before + SMOOTHING * (took_us - before)
         )
 
     def rejection(self, now: int, kind: ErrorCode, text: str) -> Error:
-        """What the table does not allow: refused for good only if it is the one in force."""
+        """Return the error for what the table does not allow, for good only if the table is in force."""
         fresh = now <= self.fresh_until
         return (
             Error(kind, text) if fresh else Error(ErrorCode.STALE_CONFIGURATION, text, STALE_RETRY_AFTER_US)
--- a/vetchusher/routing/headers.py
+++ b/vetchusher/routing/headers.py
@@ -24,14 +24,17 @@
 
 
 def request_headers(headers: Iterable[tuple[str, str]], keyed: bool) -> Headers:
-    """A request's headers that go along to a server: all but those that concern one connection only, those
-    that are set anew for each attempt, and, where requests bear keys, the key."""
+    """Return the headers that are forwarded to a server.
+
+    All but those that concern one connection only, those that are set anew for each attempt, and, where
+    requests bear keys, the key.
+    """
     dropped = _REPLACED | {"authorization"} if keyed else _REPLACED
     return _end_to_end(headers, dropped)
 
 
 def response_headers(headers: Iterable[tuple[str, str]]) -> Headers:
-    """An answer's headers that go back to the client; its length is stated anew."""
+    """Return the headers that are sent back to the client; the length is stated anew."""
     return _end_to_end(headers, frozenset({"content-length"}))
 
 
--- a/vetchusher/routing/request.py
+++ b/vetchusher/routing/request.py
@@ -34,7 +34,10 @@
 
 
 class Request:
-    """Built by `judge`.  Each `Send` is answered by one call of `ended` (or `streaming`, then `ended`)."""
+    """One request, made by `admit_request`.
+
+    Each `SendAttempt` is answered by one call of `on_attempt_ended`, or by `on_response_begun` and then that.
+    """
 
     def __init__(
         self,
@@ -44,6 +47,7 @@
         route: Route,
         tenant: Tenant | None,
     ):
+        """Prepare a request whose head was admitted."""
         self.context = context
         self.route = route
         self.tenant = tenant
@@ -70,7 +74,7 @@
         self.events: list[LogEvent] = []  # for the log; whoever carries out the acts takes them
 
     def start(self, now: int) -> list[Action]:
-        """The body has come whole: the first try, or why there is none."""
+        """Choose the first server and ask for the quota; the body has arrived completely."""
         allowed = allowed_regions(self.route, self.tenant)
         server: Server | None = None
         for service in draw_services(self.route, self.context.rng):
@@ -101,9 +105,9 @@
     def on_attempt_ended(
         self, now: int, number: int, outcome: AttemptOutcome, reset_at_once: bool = False
     ) -> list[Action]:
-        """An attempt is over.
+        """Take the end of an attempt.
 
-        :param prompt: it was reset so soon that the server was likely full
+        :param reset_at_once: it was reset so soon that the server was likely saturated
         """
         server = self.open_attempts.pop(number, None)
         if server is None:
@@ -129,7 +133,7 @@
         return self._give_up(now)
 
     def on_response_begun(self, now: int, number: int) -> list[Action]:
-        """The head of a good answer too long to hold has come: from here on it is this one or none."""
+        """Take that a good response too long to buffer has begun: from here on it is this one or none."""
         if self.is_done:
             return []
         self.response_began_at[number] = now
@@ -137,14 +141,14 @@
         return self._forward(now, number)
 
     def on_late(self, now: int) -> list[Action]:
-        """Repeatable, and late: one more copy elsewhere."""
+        """Hedge a repeatable request that is late: one more attempt elsewhere."""
         if self.is_done or len(self.open_attempts) != 1 or not self.repeatable:
             return []
         act = self._next_attempt(now)
         return [act] if act is not None else []
 
     def on_client_left(self, now: int) -> list[Action]:
-        """The client is gone."""
+        """Cancel everything: the client has closed its connection."""
         self.is_done = True
         return self._cancel_all(now)
 
@@ -179,7 +183,7 @@
         return self._send(now, server)
 
     def _failure_cost_us(self, now: int) -> int:
-        """What a failure costs: all the time that is left, unless it may be sent again."""
+        """Return what a failure costs: all the time that is left, unless it may be sent again."""
         return 0 if self.repeatable else self.deadline - now
 
     def _send(self, now: int, server: Server) -> SendAttempt:
--- a/vetchusher/routing/routes.py
+++ b/vetchusher/routing/routes.py
@@ -11,6 +11,7 @@
     """Look-ups in one configuration; as immutable as that."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Index the routes by host and the tenants by key."""
         self.configuration = configuration
         self._hosts: dict[str, dict[str, Route]] = {}
         for route in configuration.routes:
@@ -18,9 +19,9 @@
         self._keys = {key: tenant for tenant in configuration.tenants.values() for key in tenant.credentials}
 
     def find(self, host: str, target: str) -> Route | None:
-        """The route of that host (its port and its case do not count) with the longest prefix of the path.
+        """Return the route of a host with the longest prefix of the path; None: there is none.
 
-        :param target: the raw path, with or without its query
+        The host's port and its case do not count.
         """
         routes = self._hosts.get(host.partition(":")[0].rstrip(".").lower())
         path = target.partition("?")[0]
@@ -31,14 +32,16 @@
         return None
 
     def tenant(self, key: str) -> Tenant | None:
+        """Return the tenant of a key; None: no tenant has it."""
         return self._keys.get(key)
 
     def service(self, name: str) -> Service | None:
+        """Return a service by its name."""
         return self.configuration.services.get(name)
 
 
 def draw_services(route: Route, rng: random.Random) -> list[str]:
-    """The services of a route: first the one drawn by weight, then the others that have any weight."""
+    """Return the services of a route: first the one drawn by weight, then the others that have any weight."""
     live = [(name, weight) for name, weight in route.targets if weight > 0]
     if len(live) < 2:
         return [name for name, _ in live]
@@ -48,9 +51,9 @@
 
 
 def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
-    """The regions in which it may be served; none named at all: every region.
+    """Return the regions in which a request may be served; None: in every region.
 
-    Safety: where both have homes each binds; an empty cut allows no region, and must not read as "all".
+    Homes of route and tenant both bind.
     """
     homes = [some for some in (route.home_regions, tenant.home_regions if tenant else None) if some]
     return frozenset.intersection(*homes) if homes else None
--- a/vetchusher/routing/server_selection.py
+++ b/vetchusher/routing/server_selection.py
@@ -1,11 +1,11 @@
 """Load balancing: which server gets a request, by what this ingress has seen of each itself.
 
 Two servers are drawn at random and the one with the lower expected cost is taken (power of two choices,
-Mitzenmacher 2001), from this ingress's subset (`subsets`) unless that does badly.  Servers that fail rest
-(outlier detection).
+Mitzenmacher 2001), from this ingress's subset (`subsets`) unless that does badly. Servers that fail are
+ejected for a while (outlier detection).
 
-`Choice` owns one `ServerState` for each server of the newest list, and one smoothed time for each service and
-region; both go when the list no longer names them.  All times are us on one steady clock.
+`ServerSelector` owns one `ServerState` for each listed server, and one smoothed time for each service and
+region; both go when the list no longer names them. All times are microseconds of one steady clock.
 """
 
 from __future__ import annotations
@@ -58,12 +58,14 @@
 class ServerState:
     """What is known of one server.
 
-    :param bound: requests that may be out there from here at once; at least 1
-    :param time_us: smoothed time from sending to the answer, the way included; 0: none yet
+    :param open_limit: requests that may be open there from here at once; at least 1
+    :param time_us: smoothed time from sending to the response, the way included; 0: none yet
     :param failures: in a row
     :param failure_rate: smoothed, as of `failure_rate_at`
-    :param waiting: when each request without a response yet was sent (us), the oldest first
+    :param sent_times: when each request without a response yet was sent (us), the oldest first
     :param preferred: it is in this ingress's subset
+    :param ejected_until: us; until then it gets no request
+    :param is_misdirected: it answered that another server has its address
     """
 
     server: Server
@@ -85,11 +87,14 @@
 
 
 class ServerSelector:
-    """:param node: this ingress's name, by which rows name the owner of a cold server's budget
-    :param zones: the region of each zone
-    """
+    """Owner of the states of all listed servers."""
 
     def __init__(self, rng: random.Random, node: str, region: str, zones: Mapping[str, str]) -> None:
+        """Begin without servers.
+
+        :param node: this ingress's name, by which rows name the owner of a cold server's budget
+        :param zones: the region of each zone
+        """
         self.rng = rng
         self.node = node
         self.region = region
@@ -108,15 +113,17 @@
         ] = {}  # by zone: when its last evacuation ended; as many as there are zones
 
     def is_listed(self, instance: object) -> bool:
+        """Return whether a server is on the list."""
         return instance in self.server_states
 
     def configure(self, services: Mapping[str, Service]) -> None:
+        """Take the services of a configuration."""
         self.services = services
         for state in self.server_states.values():
             state.open_limit = min(state.open_limit, self._max_open(state.server))
 
     def set_servers(self, servers: Iterable[Server]) -> None:
-        """Take the whole list; what is known of a server stays as long as the list names its instance."""
+        """Take the complete list; what is known of a server stays as long as the list names its instance."""
         before, self.server_states = self.server_states, {}
         for server in servers:
             state = before.get(server.instance)
@@ -128,11 +135,12 @@
         self._update_usable()
 
     def set_ingresses(self, zones: Mapping[str, str]) -> None:
-        """The zones of those of this region that may be serving, by node name."""
+        """Take the ingresses of this region that may be serving: name to zone."""
         if self.subsets.ingresses(zones):
             self._update_usable()
 
     def set_evacuated(self, zones: frozenset[str], now: int) -> None:
+        """Take the zones whose servers get no requests."""
         for zone in self.evacuated_zones - zones:
             self.evacuation_ended_at[zone] = now
         self.evacuated_zones = zones
@@ -162,12 +170,14 @@
         exclude: Collection[str] = (),
         loss_us: int = 0,
     ) -> Server | None:
-        """A server with room: warm ones of the own region, then its cold ones owned here, then those of the
-        region whose answers come soonest.
+        """Return a server with capacity; None: there is none.
+
+        Warm ones of the own region come first, then its cold ones owned here, then those of the region whose
+        responses come soonest.
 
-        :param allowed: regions; none named at all: every region
-        :param exclude: instances that this request has been sent to
-        :param loss_us: what a failure costs, as a time: what may run once only is lost with it
+        :param allowed: regions; None: every region
+        :param exclude: instances to which this request was sent
+        :param loss_us: what a failure costs, as a time: what may run only once is lost with it
         """
         regions = {
             name: found
@@ -186,7 +196,7 @@
     def _choose_warm(
         self, now: int, states: list[ServerState], exclude: Collection[str], loss_us: int
     ) -> ServerState | None:
-        """A server of the subset, unless one outside costs less and the subset costs too much."""
+        """Return a server of the subset, unless one outside costs less and the subset costs too much."""
 
         def cost(state: ServerState) -> float:
             return self._expected_cost(now, state, loss_us)
@@ -210,7 +220,7 @@
         exclude: Collection[str],
         cost: Callable[[ServerState], float],
     ) -> ServerState | None:
-        """Two at random among the usable ones, and the one that should answer sooner."""
+        """Draw two of the usable ones, and return the one that should answer sooner."""
         first: ServerState | None = None
         for _ in range(RANDOM_DRAWS if len(states) > RANDOM_DRAWS else 0):
             drawn = states[int(self.rng.random() * len(states))]
@@ -229,10 +239,10 @@
     def _choose_cold(
         self, now: int, states: list[ServerState], exclude: Collection[str]
     ) -> ServerState | None:
-        """A cold server whose budget this ingress owns and that may have one more request now.
+        """Return a cold server whose budget this ingress owns and that may have one more request now.
 
         Safety: only the named owner may send, and only at the allowed rate, which is meant for all ingresses
-        together.  An ingress that is out of touch may have lost the ownership.
+        together. An ingress that is out of touch may have lost the ownership.
         """
         if now >= self.cold_budget_until:
             return None
@@ -275,8 +285,8 @@
         return near if region == self.region else near + REMOTE_REGION_US
 
     def _expected_cost(self, now: int, state: ServerState, loss_us: int = 0) -> float:
-        """Expected time of a request sent now: one smoothed time for each request out and for itself, plus
-        what a failure would lose.
+        """Return the expected time of a request sent now: one smoothed time for each open request and for
+        itself, plus what a failure would lose.
 
         A request that has waited longer than the smoothed time raises it.
         """
@@ -293,7 +303,7 @@
         return state.failure_rate * kept
 
     def on_sent(self, now: int, instance: str) -> None:
-        """A request goes there; `ended` is owed for it."""
+        """Note that a request was sent to a server; `on_ended` is owed for it."""
         state = self.server_states.get(instance)
         if state is None:
             return
@@ -303,7 +313,7 @@
             state.tokens, state.tokens_at = self._tokens(now, state) - 1.0, now
 
     def on_response_begun(self, instance: str, sent_at: int) -> None:
-        """The head of its answer has come: the rest takes as long as its client reads."""
+        """Note that a response has begun: the rest takes as long as its client reads."""
         state = self.server_states.get(instance)
         if state is not None and sent_at in state.sent_times:
             state.sent_times.remove(sent_at)
@@ -311,10 +321,10 @@
     def on_ended(
         self, now: int, instance: str, outcome: AttemptOutcome, took_us: int, reset_at_once: bool = False
     ) -> LogEvent | None:
-        """What came of it.
+        """Take the outcome of a request; return an event where the server was ejected.
 
         :param took_us: from sending to the end
-        :param prompt: a reset that came so soon that the server was likely full
+        :param reset_at_once: a reset that came so soon that the server was likely saturated
         """
         state = self.server_states.get(instance)
         if state is None:
@@ -347,9 +357,9 @@
         return None
 
     def _record_health(self, now: int, state: ServerState, outcome: AttemptOutcome, took_us: int) -> None:
-        """Its health, by how this request ended.
+        """Learn a server's health from how a request ended.
 
-        Safety: a server that hangs would never be blamed for what was given up in favour of a second copy.
+        Safety: a server that hangs would never be blamed for what was given up in favour of a hedged request.
         """
         mean = self._mean_time(state.server.service, state.region)
         hung = outcome is AttemptOutcome.CANCELLED and took_us > HUNG_FACTOR * mean
@@ -375,10 +385,10 @@
             )
 
     def _record_failure(self, now: int, state: ServerState, weight: int) -> LogEvent | None:
-        """Rest it after failures in a row, longer each time.
+        """Eject a server after failures in a row, longer each time.
 
         Safety: what looks like many bad servers may be a bad path from here, or a bad kind of request; with
-        more than half of a service resting, the others would fall over.
+        more than half of a service ejected, the others would fall over.
         """
         state.failures += weight
         service = state.server.service
--- a/vetchusher/routing/subsets.py
+++ b/vetchusher/routing/subsets.py
@@ -21,10 +21,7 @@
 
 
 def ingresses_per_server(ingresses: int, servers: int) -> int:
-    """How many ingresses prefer each server.
-
-    Subsets hold SUBSET_SIZE servers on average, or SPARE_FACTOR times an even part if that is more.
-    """
+    """Return how many ingresses prefer each server."""
     if ingresses <= 0 or servers <= 0:
         return 0
     subset = max(SUBSET_SIZE, ceil(SPARE_FACTOR * servers / ingresses))
@@ -32,6 +29,7 @@
 
 
 def rank(ingress: str, instance: str) -> bytes:
+    """Return the rank of an ingress for a server; the highest ranks prefer it."""
     return blake2b(f"{ingress}\n{instance}".encode(), digest_size=8, person=b"patch").digest()
 
 
@@ -56,12 +54,15 @@
     """
 
     def __init__(self, me: str) -> None:
+        """Begin with this ingress alone."""
         self.me = me
         self.zones: Mapping[str, str] = {}  # by node name: its zone; of the ingresses that share
         self.places: dict[str, Place] = {}  # by instance
 
     def ingresses(self, zones: Mapping[str, str]) -> bool:
-        """Take the ingresses of this region that may be serving, itself included; whether they changed."""
+        """Take the ingresses of this region that may be serving, itself included; return whether they
+        changed.
+        """
         if zones == self.zones:
             return False
         old, self.zones = self.zones, dict(zones)
@@ -86,9 +87,9 @@
         self.places = {name: place for name, place in self.places.items() if name in instances}
 
     def contains(self, instance: str, zone: str, servers: int) -> bool:
-        """Whether this ingress prefers that server, one of so many of its service and region.
+        """Return whether this ingress prefers a server.
 
-        An ingress that no row names yet prefers all.
+        :param servers: of its service and region, as many as there are
         """
         number = ingresses_per_server(len(self.zones), servers)
         if self.me not in self.zones or number >= len(self.zones):
