--- a/tests/test_local_system.py
+++ b/tests/test_local_system.py
@@ -141,12 +141,12 @@
         seen = ""
         for line in started.stdout:
             seen += line
-            if line.startswith("up"):
+            if line.startswith("running"):
                 break
-        self.assertRegex(seen, r"(?m)^asked .*: 200, ")
+        self.assertRegex(seen, r"(?m)^requested .*: 200, ")
         started.send_signal(signal.SIGINT)
         told, wrong = started.communicate()
-        self.assertThat((started.returncode, told, wrong), Equals((0, "ending\n", "")))
+        self.assertThat((started.returncode, told, wrong), Equals((0, "shutting down\n", "")))
         pids = [int(pid) for pid in re.findall(r" pid (\d+) ", seen)]
         self.assertThat(len(pids), Equals(5))
         self.assertThat(pids, AllMatch(AfterPreprocessing(is_there, Is(False))))
--- a/vetchusher/emulator/system/local.py
+++ b/vetchusher/emulator/system/local.py
@@ -458,28 +458,28 @@
 async def show(system: LocalSystem) -> None:
     """Start it, and show a first configuration, a resolution and a request."""
     await system.open()
-    print(f"list       http://{system.platform.host}:{LIST}/instances")
+    print(f"server list http://{system.platform.host}:{LIST}/instances")
     for server in system.servers:
-        print(f"server     {server.service:8} {server.zone:8} {server.host}:{SERVER} {server.instance}")
+        print(f"server      {server.service:8} {server.zone:8} {server.host}:{SERVER} {server.instance}")
     for machine in system.machines.values():
-        doors = (
-            f"control http://{machine.at(CONTROL)} directory http://{machine.at(DIRECTORY)}"
+        listeners = (
+            f"control API http://{machine.at(CONTROL)} directory API http://{machine.at(DIRECTORY)}"
             if machine.core
-            else f"front http://{machine.at(FRONT)} ready http://{machine.at(READY)}"
+            else f"clients http://{machine.at(FRONT)} readiness http://{machine.at(READY)}"
         )
         pid = machine.process.pid if machine.process is not None else 0
-        print(f"{machine.name:10} {machine.zone:8} pid {pid} {doors}")
-    print(f"files      {system.folder}: settings, disks and a log for each", flush=True)
+        print(f"{machine.name:11} {machine.zone:8} pid {pid} {listeners}")
+    print(f"files       {system.folder}: settings, data folder and log of each process", flush=True)
     by = await system.configure(first_configuration())
-    print(f"configured r1 at {by.name}", flush=True)
+    print(f"configured  r1 committed at {by.name}", flush=True)
     await system.until_serving(system.edge)
     zone = EDGE[0]
     fronts = await system.until(lambda: system.resolve(zone), "the directory answers")
-    print(f"resolved   {HOST} for {zone}: {', '.join(fronts)}")
+    print(f"resolved    {HOST} for {zone}: {', '.join(fronts)}")
     path = f"/{SERVICES[0]}/first"
     answer = await system.until(lambda: system.served(fronts[0], path), "a request is served")
-    print(f"asked      GET {path} at {fronts[0]}: {answer.status}, {answer.body!r}")
-    print("up; Ctrl-C ends it", flush=True)
+    print(f"requested   GET {path} at {fronts[0]}: {answer.status}, {answer.body!r}")
+    print("running; Ctrl-C shuts it down", flush=True)
 
 
 async def keep_up(system: LocalSystem) -> None:
@@ -490,7 +490,7 @@
             if not machine.running and machine.process is not None:
                 code = machine.process.returncode
                 await system.start(machine.name)
-                print(f"{machine.name} ended ({code}); started again, pid {machine.process.pid}", flush=True)
+                print(f"{machine.name} exited with {code}; restarted, pid {machine.process.pid}", flush=True)
 
 
 async def stay(folder: pathlib.Path) -> int:
@@ -511,7 +511,7 @@
         if tasks[0] in done:
             print(f"local: {tasks[0].exception()}", file=sys.stderr)
             return 1
-        print("ending", flush=True)
+        print("shutting down", flush=True)
         return 0
     finally:
         for task in tasks:
