--- a/tests/test_local_system.py
+++ b/tests/test_local_system.py
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 import tempfile
+import threading
 import time
 from dataclasses import replace
 
@@ -23,6 +24,8 @@
 from vetchusher.node.server_list_client import ServerListClient
 from vetchusher.settings.node import Bounds, CloudApi
 
+RUN_TIMEOUT_S = 120.0
+
 
 def second_configuration():
     """As the first one, and one route more: /late/ to a service that is there already."""
@@ -138,6 +141,9 @@
             text=True,
         )
         self.addCleanup(started.kill)
+        watchdog = threading.Timer(RUN_TIMEOUT_S, started.kill)  # else a line that never comes is waited for
+        watchdog.start()
+        self.addCleanup(watchdog.cancel)
         seen = ""
         for line in started.stdout:
             seen += line
