--- a/tests/test_core_processes.py
+++ b/tests/test_core_processes.py
@@ -203,7 +203,9 @@
 
 class ReplacementTest(TestCase):
     def test_the_voters_are_the_machines_of_today(self):
-        rig = SimpleNamespace(size=3, apiary=SimpleNamespace(core=[SimpleNamespace(ip=ip) for ip in "abc"]))
+        rig = SimpleNamespace(
+            size=3, local_system=SimpleNamespace(core=[SimpleNamespace(ip=ip) for ip in "abc"])
+        )
         for members, previous, right in (
             ("abc", "", True),
             ("abd", "", False),  # one that is gone, and its successor has no seat
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -69,9 +69,10 @@
         self.assertEqual((8, "10.0.0.2", True), (contents.voted_epoch, contents.voted_for, contents.has_copy))
         state, replica_set = contents.state, contents.replica_set
         self.assertEqual((7, 3, 12), (state.stamp.epoch, state.stamp.seq, state.version))
-        self.assertEqual([("gulf-a", False, 1), ("gulf-b", True, 2)], [
-            (each.zone, each.on, each.order) for each in state.evacuations
-        ])  # fmt: skip
+        self.assertEqual(
+            [("gulf-a", False, 1), ("gulf-b", True, 2)],
+            [(each.zone, each.on, each.order) for each in state.evacuations],
+        )
         self.assertEqual(12, int(json.loads(state.configuration)["version"][1:]))
         self.assertEqual((7, 4, "10.0.0.1"), (replica_set.epoch, replica_set.number, replica_set.primary))
         self.assertEqual(["10.0.0.1", "10.0.0.2"], list(replica_set.copies))
--- a/vetchusher/emulator/control/process_faults.py
+++ b/vetchusher/emulator/control/process_faults.py
@@ -24,14 +24,14 @@
 
 
 async def kill_two(rig: CoreRig) -> Repair:
-    struck = rig.rng.sample(rig.apiary.core, 2)
+    struck = rig.rng.sample(rig.local_system.core, 2)
     await rig.kill(struck)
     return rig.start_later(struck)
 
 
 async def kill_all(rig: CoreRig) -> Repair:
     await rig.all_killed()
-    return rig.start_later(rig.apiary.core)
+    return rig.start_later(rig.local_system.core)
 
 
 async def wipe_primary(rig: CoreRig) -> Repair:
@@ -60,9 +60,9 @@
 
 async def wipe_and_kill_all(rig: CoreRig) -> Repair:
     await rig.caught_up()
-    struck = rig.rng.choice(rig.apiary.core)
+    struck = rig.rng.choice(rig.local_system.core)
     await rig.all_killed()
-    return rig.start_later(rig.apiary.core, wipe=struck)
+    return rig.start_later(rig.local_system.core, wipe=struck)
 
 
 async def stop_primary(rig: CoreRig) -> Repair:
@@ -74,7 +74,7 @@
 
 
 def others(rig: CoreRig, *but: Machine) -> list[Machine]:
-    return [m for m in rig.apiary.core if m not in but]
+    return [m for m in rig.local_system.core if m not in but]
 
 
 async def cut_off_primary(rig: CoreRig) -> Repair:
@@ -100,7 +100,7 @@
 async def cut_in_two(rig: CoreRig) -> Repair:
     """The primary in the smaller part."""
     leader = rig.leader()
-    small = [leader, *rig.rng.sample(others(rig, leader), (len(rig.apiary.core) - 1) // 2 - 1)]
+    small = [leader, *rig.rng.sample(others(rig, leader), (len(rig.local_system.core) - 1) // 2 - 1)]
     return rig.cut_for(small, others(rig, *small), both=True)
 
 
--- a/vetchusher/emulator/control/process_replacement.py
+++ b/vetchusher/emulator/control/process_replacement.py
@@ -26,14 +26,14 @@
 async def lose(rig: CoreRig, machines: Sequence[Machine]) -> None:
     """Killed, the disk gone, never back."""
     rig.serving -= {m.name for m in machines}
-    await asyncio.gather(*(rig.apiary.kill(m.name) for m in machines))
+    await asyncio.gather(*(rig.local_system.kill(m.name) for m in machines))
     for machine in machines:
         remove(rig, machine)
 
 
 def remove(rig: CoreRig, machine: Machine) -> None:
     """A machine whose process has ended is one of today's no more."""
-    rig.apiary.remove_core(machine.name)
+    rig.local_system.remove_core(machine.name)
     rig.cuts.remove(machine.ip)
     rig.removed.append(machine)
     rig.found.replaced += 1
@@ -41,7 +41,7 @@
 
 async def start_successor(rig: CoreRig, zone: str) -> tuple[Machine, float]:
     """A machine at a new address with an empty disk, as soon as its door is open, and when it was started."""
-    machine = rig.apiary.add_core(zone)
+    machine = rig.local_system.add_core(zone)
     machine.internal = internal_port(machine)
     await rig.cuts.add(machine.ip, machine.internal)
     started = time.monotonic()
@@ -71,10 +71,10 @@
     process, told = machine.process, time.monotonic()
     assert process is not None
     try:
-        await asyncio.wait_for(process.wait(), rig.apiary.bounds.grace_s)
+        await asyncio.wait_for(process.wait(), rig.local_system.bounds.grace_s)
         killed = False
     except TimeoutError:
-        await rig.apiary.kill(machine.name)
+        await rig.local_system.kill(machine.name)
         killed = True
     rig.found.leaves.append(Leave(kind, time.monotonic() - told, killed))
     remove(rig, machine)
@@ -91,14 +91,14 @@
 
 
 async def records(rig: CoreRig) -> list[ReplicaSet]:
-    found = await asyncio.gather(*(record_of(m) for m in rig.apiary.core))
+    found = await asyncio.gather(*(record_of(m) for m in rig.local_system.core))
     return [one for one in found if one is not None and one.members]
 
 
 def names_today(rig: CoreRig, record: ReplicaSet) -> bool:
     """Whether the voters are just the machines of today, as many as there should be, and no change is under
     way."""
-    today = {m.ip for m in rig.apiary.core}
+    today = {m.ip for m in rig.local_system.core}
     return voters(record) == today and len(record.members) == rig.size and not record.previous_members
 
 
@@ -121,7 +121,7 @@
     )
     rig.found.wrong.append(
         f"voters after a replacement are not those of today for {REGAIN_S:g} s: "
-        f"{[m.ip for m in rig.apiary.core]}, on the disks {shown}; {rig.roles()}"
+        f"{[m.ip for m in rig.local_system.core]}, on the disks {shown}; {rig.roles()}"
     )
     return time.monotonic()
 
@@ -133,7 +133,7 @@
         held, told = await record_of(successor), await records(rig)
         return held is not None and bool(told) and replica_set_id(held) == max(map(replica_set_id, told))
 
-    await rig.apiary.until(caught_up, f"{successor.name} has caught up")
+    await rig.local_system.until(caught_up, f"{successor.name} has caught up")
 
 
 # -- the faults ------------------------------------------------------------------------------------
@@ -156,7 +156,7 @@
 async def replace_two(rig: CoreRig) -> Repair:
     """Where two losses at a time are to be borne."""
     await rig.caught_up()
-    lost = rig.rng.sample(rig.apiary.core, 2)
+    lost = rig.rng.sample(rig.local_system.core, 2)
     await lose(rig, lost)
     return start_successors_later(rig, "replace two at once", lost)
 
@@ -193,17 +193,17 @@
     """What is lost once the successor has had its time is borne like any other loss: the rest reads back and
     acknowledges before the wiped one returns."""
     await rig.caught_up()
-    lost = rig.rng.choice(rig.apiary.core)
+    lost = rig.rng.choice(rig.local_system.core)
     await lose(rig, [lost])
     await start_successor_later(rig, lost.zone)
     rig.back_at = time.monotonic()
     await rig.caught_up()
-    wiped = rig.rng.choice(rig.apiary.core)
+    wiped = rig.rng.choice(rig.local_system.core)
     await rig.kill([wiped])
     restart, struck = rig.start_later([wiped], wipe=wiped), time.monotonic()
 
     async def mend() -> None:
-        await borne(rig, struck, [m for m in rig.apiary.core if m is not wiped])
+        await borne(rig, struck, [m for m in rig.local_system.core if m is not wiped])
         await restart()
         await voters_of_today(rig)
 
@@ -216,7 +216,7 @@
     async def acknowledged() -> bool:
         return rig.last[0] >= struck
 
-    await rig.apiary.until(acknowledged, "those that are left acknowledge")
+    await rig.local_system.until(acknowledged, "those that are left acknowledge")
     await rig.read_back(rest)
 
 
--- a/vetchusher/emulator/control/process_rig.py
+++ b/vetchusher/emulator/control/process_rig.py
@@ -150,7 +150,7 @@
 
 
 class CoreRig:
-    """It owns the operators' tasks and the record of the run; the processes are the apiary's.
+    """It owns the operators' tasks and the record of the run; the processes are the local_system's.
 
     :param size: core machines: two zones, the greater part in the first
     """
@@ -159,11 +159,11 @@
         self.rng = random.Random(seed)
         zones = [ZONES[0]] * (size - size // 2) + [ZONES[1]] * (size // 2)
         self.size = size  # voters that there should be
-        self.apiary = LocalSystem(folder, core=zones, edge=(), losses=(size - 1) // 2)
-        for machine in self.apiary.core:
+        self.local_system = LocalSystem(folder, core=zones, edge=(), losses=(size - 1) // 2)
+        for machine in self.local_system.core:
             machine.internal = internal_port(machine)
         self.removed: list[Machine] = []  # that were replaced
-        self.cuts = Cuts({m.ip: m.internal for m in self.apiary.core})
+        self.cuts = Cuts({m.ip: m.internal for m in self.local_system.core})
         self.found = Found()
         self.next_version = 1
         self.highest = 0  # acknowledged
@@ -186,12 +186,12 @@
         """The script with everything up, and the verdict."""
         connector = aiohttp.TCPConnector(force_close=True)
         await self.cuts.open()
-        async with self.apiary, aiohttp.ClientSession(connector=connector) as self.session:
+        async with self.local_system, aiohttp.ClientSession(connector=connector) as self.session:
             tasks = [asyncio.create_task(self.operate()) for _ in range(self.operators)]
             try:
                 await self.regained()
                 await self.read_everywhere()
-                self.serving = {m.name for m in self.apiary.core}
+                self.serving = {m.name for m in self.local_system.core}
                 await script(self)
                 await self.read_everywhere()
                 await self.all_killed()  # the last look at the disks
@@ -211,7 +211,7 @@
 
     def machines(self) -> list[Machine]:
         """All that there were, the present ones first."""
-        return [*self.apiary.core, *self.removed]
+        return [*self.local_system.core, *self.removed]
 
     # -- operators ----------------------------------------------------------------------------------
 
@@ -223,7 +223,7 @@
             await asyncio.sleep(self.rng.uniform(0.5, 1.5) * PACE_S)
 
     async def any_call(self) -> None:
-        draw, machine = self.rng.random(), self.rng.choice(self.apiary.core)
+        draw, machine = self.rng.random(), self.rng.choice(self.local_system.core)
         if draw < 0.4:
             await self.write(machine, self.take_version())
         elif draw < 0.5:
@@ -272,7 +272,7 @@
     async def take_part(self, version: int, variant: str) -> None:
         answers = 0
         for _ in range(RACE_ATTEMPTS):
-            status = await self.send(self.rng.choice(self.apiary.core), version, variant)
+            status = await self.send(self.rng.choice(self.local_system.core), version, variant)
             answers += status == 200
             if status == CONFLICT or answers > 1:
                 return
@@ -343,11 +343,11 @@
         """So many changes one after another, with nobody else calling."""
         self.going.clear()
         await asyncio.sleep(PATIENCE_S)  # whoever is in a call ends it
-        disks, commits = [m.disk for m in self.apiary.core], Commits()
+        disks, commits = [m.disk for m in self.local_system.core], Commits()
         commits.look(disks)
         before, began = self.bytes_written(), time.monotonic()
         for _ in range(count):
-            machine, at = self.rng.choice(self.apiary.core), time.monotonic()
+            machine, at = self.rng.choice(self.local_system.core), time.monotonic()
             if await self.write(machine, self.take_version()):
                 self.found.calm_ms.append((time.monotonic() - at) * 1e3)
             commits.look(disks)
@@ -361,12 +361,12 @@
 
     def bytes_written(self) -> int:
         """By all processes that run, since each began, as the kernel counts."""
-        pids = [m.process.pid for m in self.apiary.core if m.process is not None and m.running]
+        pids = [m.process.pid for m in self.local_system.core if m.process is not None and m.running]
         told = [pathlib.Path(f"/proc/{pid}/io").read_text() for pid in pids]
         return sum(int(line.split()[1]) for one in told for line in one.splitlines() if line[:5] == "wchar")
 
     async def read_everywhere(self) -> None:
-        await self.read_back(self.apiary.core)
+        await self.read_back(self.local_system.core)
 
     async def read_back(self, machines: Sequence[Machine]) -> None:
         """Each machine's door gives the newest that was acknowledged before."""
@@ -375,7 +375,7 @@
             async def answered(machine: Machine = machine) -> bool:
                 return await self.read(machine) >= 0
 
-            await self.apiary.until(answered, f"{machine.name} reads back")
+            await self.local_system.until(answered, f"{machine.name} reads back")
 
     # -- faults -------------------------------------------------------------------------------------
 
@@ -385,7 +385,7 @@
         :raises TimeoutError: none is
         """
         struck, over = time.monotonic(), asyncio.Event()
-        probes = [asyncio.create_task(self.probe(machine, over)) for machine in self.apiary.core]
+        probes = [asyncio.create_task(self.probe(machine, over)) for machine in self.local_system.core]
         try:
             async with asyncio.timeout(REGAIN_S):
                 while self.last[0] < struck:
@@ -421,20 +421,20 @@
 
     def leader(self) -> Machine:
         """The primary by the logs; where nobody says so, anybody."""
-        return self.apiary.primary() or self.rng.choice(self.apiary.core)
+        return self.local_system.primary() or self.rng.choice(self.local_system.core)
 
     def other(self) -> Machine:
         leader = self.leader()
-        return self.rng.choice([m for m in self.apiary.core if m is not leader])
+        return self.rng.choice([m for m in self.local_system.core if m is not leader])
 
     async def kill(self, machines: list[Machine]) -> None:
         self.found.struck += len(machines)
         self.serving -= {m.name for m in machines}
-        await asyncio.gather(*(self.apiary.kill(m.name) for m in machines))
+        await asyncio.gather(*(self.local_system.kill(m.name) for m in machines))
 
     def start_later(self, machines: list[Machine], wipe: Machine | None = None) -> Repair:
         if wipe is not None:
-            self.apiary.wipe(wipe.name)
+            self.local_system.wipe(wipe.name)
 
         self.open_listeners = 0
 
@@ -447,7 +447,7 @@
 
     async def begin(self, machine: Machine, down: int) -> None:
         """Start it, until its door is open.  :param down: that are started together"""
-        await self.apiary.start(machine.name)
+        await self.local_system.start(machine.name)
 
         async def open_() -> bool:
             assert self.session is not None
@@ -456,7 +456,7 @@
                     return True
             return False
 
-        await self.apiary.until(open_, f"the door of {machine.name}")
+        await self.local_system.until(open_, f"the door of {machine.name}")
         self.serving.add(machine.name)
         self.open_listeners += 1
         if self.size - down + self.open_listeners == self.size // 2 + 1:
@@ -496,9 +496,9 @@
 
     async def all_killed(self) -> None:
         """Every process at one moment, and what is then on the disks."""
-        await self.kill(self.apiary.core)
+        await self.kill(self.local_system.core)
         now, newest = time.monotonic(), None
-        for machine in self.apiary.core:
+        for machine in self.local_system.core:
             kept = read_contents(str(machine.disk)).unwrap()
             if kept is not None and (newest is None or stamp(kept) > stamp(newest)):
                 newest = kept
