--- a/vetchusher/node/control_node.py
+++ b/vetchusher/node/control_node.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Sequence
 
 from returns.result import Failure, Success
 
@@ -13,7 +12,7 @@
 from vetchusher.distribution.rows import evacuation_rows
 from vetchusher.distribution.snapshot import SnapshotStore
 from vetchusher.distribution.source import Source, version_vector
-from vetchusher.distribution.subscriber import Subscriber, SubscriberOutput
+from vetchusher.distribution.subscriber import Subscriber
 from vetchusher.errors import Error, ErrorCode
 from vetchusher.events import Event, LogEvent
 from vetchusher.settings.node import NodeSettings
@@ -71,17 +70,7 @@
         self.publisher = UpdatePublisher(context.network, self.sources, self.heartbeat_reply)
         self.orders = OrderService(context, self.replica, self.parser, self)
         self.leader_roles = self.create_leader_roles()
-        parts = ControlNodeParts(
-            self.replica,
-            self.repair_driver,
-            self.presence,
-            self.publisher,
-            self.leader_roles,
-            self.orders,
-            self.subscriber,
-            self.subscriber_driver,
-        )
-        self.peer_messages = PeerMessageHandler(context, self.feed, parts)
+        self.peer_messages = self.create_peer_messages()
         self.snapshot_writer: SnapshotWriter | None = None
         if snapshots is not None:
             self.snapshot_writer = SnapshotWriter(context, snapshots, self.sources, self.persister.thread)
@@ -111,6 +100,20 @@
         )
         return LeaderRoles(self.context, self.replica, self.presence, self.publisher, poller)
 
+    def create_peer_messages(self) -> PeerMessageHandler:
+        """Return the handler of other processes' messages, which hands them to the parts."""
+        parts = ControlNodeParts(
+            self.replica,
+            self.repair_driver,
+            self.presence,
+            self.publisher,
+            self.leader_roles,
+            self.orders,
+            self.subscriber,
+            self.subscriber_driver,
+        )
+        return PeerMessageHandler(self.context, self.feed, parts)
+
     # -- the replica's inputs and outputs ------------------------------------------------------------
 
     def feed(self, event: control.Input) -> None:
@@ -226,16 +229,12 @@
         for event in self.presence.expire(now):
             self.context.log_event(event)
         self.leader_roles.tick(now)
-        self.perform_subscriber_outputs(self.subscriber.tick(now))
+        self.subscriber_driver.perform(self.subscriber.tick(now))
         if self.snapshot_writer is not None:
             self.snapshot_writer.tick()
         peers = {*self.replica.voters, *self.subscriber.seeds} - {self.context.own_ip}
         self.context.network.keep_peers(peers)
 
-    def perform_subscriber_outputs(self, outputs: Sequence[SubscriberOutput]) -> None:
-        """Send the heartbeats and pulls that are due."""
-        self.subscriber_driver.perform(outputs)
-
     # -- settings and shutdown -----------------------------------------------------------------------
 
     def update_settings(self, settings: NodeSettings) -> None:
--- a/vetchusher/node/leader_roles.py
+++ b/vetchusher/node/leader_roles.py
@@ -69,8 +69,7 @@
         if self.quota_coordinator is None:
             self.quota_coordinator = self.coordinator_for(epoch, now)
             self.quota_coordinator.set_ingresses(now, self.presence.may_serve())
-            if self.configuration is not None:
-                self.quota_coordinator.configure(now, self.configuration.tenants)
+            self.apply_configuration(now)
         self.server_list_task = self.context.loop.create_task(self.server_list_poller.run(epoch))
 
     def stop(self) -> None:
@@ -93,8 +92,8 @@
         quota = QuotaBounds(bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack)
         return QuotaCoordinator(epoch, now, quota)
 
-    def configure(self, configuration: Configuration | None) -> None:
-        """Take the configuration that was committed last; None: there is none yet."""
+    def configure(self, configuration: Configuration) -> None:
+        """Take the configuration that was committed last."""
         self.configuration = configuration
 
     def apply_configuration(self, now: int) -> None:
